--- a/include/deckpitch/admission.h
+++ b/include/deckpitch/admission.h
@@ -1,4 +1,5 @@
-// Which requests run now, wait, or are refused at once.
+// Admission control: decides which requests run now, which wait in a queue and
+// which are refused.
 #pragma once
 
 #include "deckpitch/call-terms.h"
@@ -14,16 +15,18 @@
 
 namespace deckpitch {
 
-/// How many requests an upstream takes at once, learned from the time to the
-/// first byte: grows by one a round trip while that stays near the least seen
-/// lately, and shrinks by a tenth when it has doubled over several.
+/// Estimates how many concurrent requests an upstream can take, from the time
+/// to the first byte. The limit grows by one per round trip while the latency
+/// stays near its recent minimum, and shrinks by a tenth once the smoothed
+/// latency exceeds twice that minimum.
 class ConcurrencyLimit {
 public:
   explicit ConcurrencyLimit(double Initial = 16);
 
-  /// An attempt ended. Latency: to its first byte; InFlight: with it.
+  /// Records an attempt that ended. Latency is the time to its first byte;
+  /// InFlight includes the attempt itself.
   void sample(Duration Latency, std::uint32_t InFlight, TimePoint Now);
-  /// An attempt was refused for load, timed out or failed.
+  /// Records an attempt that was refused for load, timed out or failed.
   void overloaded(TimePoint Now);
   double limit() const { return m_Limit; }
 
@@ -32,15 +35,15 @@
 
   double m_Limit;
   Duration m_Smoothed{};
-  Duration m_Least{};       ///< least latency of this window
-  Duration m_LeastBefore{}; ///< and of the one before
+  Duration m_MinLatency{};         ///< minimum latency of the current window
+  Duration m_PreviousMinLatency{}; ///< minimum latency of the previous window
   TimePoint m_WindowEnd;
   TimePoint m_NextShrink;
 };
 
 using AdmissionId = std::uint64_t;
 
-/// A request that asks to run.
+/// A request that asks for admission.
 struct AdmissionRequest {
   AdmissionId m_Id = 0;
   OrganisationId m_Organisation;
@@ -51,7 +54,8 @@
                          const AdmissionRequest &) = default;
 };
 
-/// The answer to one request: now, or when to come back.
+/// The decision on one request; a refused one may be sent again after
+/// m_RetryAfter.
 struct AdmissionDecision {
   AdmissionId m_Id = 0;
   bool m_Admitted = false;
@@ -63,17 +67,18 @@
 
 struct AdmissionSettings {
   std::uint32_t m_QueueLimit = 256;
-  /// A waiting request rises by one priority for each such span.
-  Duration m_AgeStep = std::chrono::seconds(2);
+  /// A waiting request is promoted by one priority per interval.
+  Duration m_PromotionInterval = std::chrono::seconds(2);
 };
 
-/// One pool's queue at one entry. Urgent requests go first, older ones rise;
-/// within a priority organisations share by weight (start-time fair queueing),
-/// so that what one leaves unused goes to the others.
+/// The admission queue of one pool at one entry. Urgent requests go first, and
+/// waiting requests are promoted with age so that none starves. Within a
+/// priority, organisations share the capacity by weight (start-time fair
+/// queueing); capacity that one of them leaves unused goes to the others.
 ///
 ///   Queue.arrive(Request, Capacity, Now);
 ///   for (AdmissionDecision Each : Queue.takeDecisions()) ...
-///   Queue.leave(Organisation, Capacity, Now) when an admitted one has ended
+///   Queue.leave(Organisation, Capacity, Now); // an admitted request ended
 class AdmissionQueue {
 public:
   explicit AdmissionQueue(AdmissionSettings Settings = {});
@@ -82,18 +87,19 @@
   void setShare(const OrganisationId &Organisation, std::uint32_t Share,
                 std::uint32_t MaxInFlight);
   void arrive(AdmissionRequest Request, double Capacity, TimePoint Now);
-  /// An admitted request has ended.
+  /// Releases the capacity of an admitted request that has ended.
   void leave(const OrganisationId &Organisation, double Capacity,
              TimePoint Now);
-  /// A waiting request's caller went away.
+  /// Removes a waiting request whose caller has disconnected.
   void abandon(AdmissionId Id);
-  /// Time passed or capacity changed.
+  /// Refuses requests past their deadline and admits waiting ones; to be called
+  /// periodically and after a change of capacity.
   void tick(double Capacity, TimePoint Now);
   std::vector<AdmissionDecision> takeDecisions();
 
   std::uint32_t inFlight() const { return m_InFlight; }
   std::size_t waiting() const { return m_Waiting; }
-  /// How long a request that comes now would wait.
+  /// The estimated time that a request arriving now would wait.
   Duration expectedWait(Priority Of) const;
 
 private:
@@ -101,39 +107,40 @@
     AdmissionRequest m_Request;
     TimePoint m_Since;
   };
-  /// Who goes first: the least of these.
-  struct Turn {
+  /// The order in which requests are admitted, lowest first.
+  struct AdmissionOrder {
     int m_Priority = 0;
-    double m_Tag = 0;
+    double m_StartTag = 0;
     TimePoint m_Since;
 
-    friend auto operator<=>(const Turn &, const Turn &) = default;
+    friend auto operator<=>(const AdmissionOrder &,
+                            const AdmissionOrder &) = default;
   };
-  struct Lane {
+  struct OrganisationQueue {
     std::uint32_t m_Share = 1;
     std::uint32_t m_MaxInFlight = 10'000;
     std::uint32_t m_InFlight = 0;
-    double m_Tag = 0; ///< virtual time at which its next request starts
+    double m_StartTag = 0; ///< virtual start time of its next request
     std::array<std::deque<Waiting>, PriorityCount> m_Queues;
   };
 
   void admitWhilePossible(double Capacity, TimePoint Now);
   bool admitOne(TimePoint Now);
   void expire(TimePoint Now);
-  bool makeRoomFor(const AdmissionRequest &Request);
+  bool evictFor(const AdmissionRequest &Request);
   void refuse(AdmissionId Id, Priority Of);
-  void noteDrain(TimePoint Now);
-  int effectivePriority(const Waiting &Of, std::size_t Given,
+  void updateCompletionRate(TimePoint Now);
+  int effectivePriority(const Waiting &Of, std::size_t GivenClass,
                         TimePoint Now) const;
 
   AdmissionSettings m_Settings;
-  std::map<OrganisationId, Lane> m_Lanes;
-  std::array<std::uint32_t, PriorityCount> m_WaitingBy{};
+  std::map<OrganisationId, OrganisationQueue> m_Organisations;
+  std::array<std::uint32_t, PriorityCount> m_WaitingByPriority{};
   std::size_t m_Waiting = 0;
   std::uint32_t m_InFlight = 0;
   double m_VirtualTime = 0;
-  double m_DrainPerSecond = 0; ///< requests that ended, smoothed
-  TimePoint m_LastDrain;
+  double m_CompletionsPerSecond = 0; ///< completion rate, smoothed
+  TimePoint m_LastCompletion;
   std::vector<AdmissionDecision> m_Decisions;
 };
 
--- a/include/deckpitch/call-terms.h
+++ b/include/deckpitch/call-terms.h
@@ -1,4 +1,5 @@
-// What a caller asks of the system besides the request itself.
+// The terms of a call that its caller sets in headers: organisation, deadline,
+// priority and idempotency.
 #pragma once
 
 #include "deckpitch/error.h"
@@ -11,7 +12,8 @@
 
 namespace deckpitch {
 
-/// Smaller is more urgent; engines take the number.
+/// Priority of a request; a lower value is more urgent. The value is also the
+/// number that engines accept.
 enum class Priority { Urgent = 0, Normal = 1, Low = 2 };
 
 inline constexpr std::size_t PriorityCount = 3;
@@ -19,7 +21,7 @@
 inline constexpr std::size_t MaxOrganisationBytes = 128;
 inline constexpr std::chrono::milliseconds MaxDeadline{300'000};
 
-/// Request headers as they came; empty where the caller sent none.
+/// The headers as received; empty where the caller sent none.
 struct CallHeaders {
   std::string_view m_Organisation;
   std::string_view m_DeadlineMs;
@@ -46,8 +48,8 @@
 /// Whether a method is idempotent unless the caller says otherwise.
 bool isIdempotentMethod(std::string_view Method);
 
-/// Reads the terms; a header that is absent takes its default. Errors:
-/// InvalidInput naming the header.
+/// Parses the terms; a missing header takes its default. Errors: InvalidInput
+/// naming the header.
 ///
 ///   parseCallTerms({.m_DeadlineMs = "250"}, {});
 Result<CallTerms> parseCallTerms(const CallHeaders &Headers,
--- a/include/deckpitch/harmful-requests.h
+++ b/include/deckpitch/harmful-requests.h
@@ -1,5 +1,5 @@
-// Requests that crash the instances that run them ("queries of death"): told
-// apart from those that merely were there, and refused.
+// Detects requests that crash the instances that run them ("queries of death")
+// and distinguishes them from requests that were merely in flight there.
 #pragma once
 
 #include "deckpitch/id.h"
@@ -15,18 +15,18 @@
 
 namespace deckpitch {
 
-/// The life of an instance that ended the connection while it had the request.
+/// The loss of one instance: its connection ended while it had the request.
 struct InstanceLoss {
   std::uint64_t m_Instance = 0; ///< hash of the instance's id
   TimePoint m_Sent{};           ///< when the request was sent there
   TimePoint m_At{};             ///< when the connection ended
-  /// An instance has answered the request whole since: it counts no more.
+  /// No longer counts, since an instance has answered the request completely.
   bool m_IsCleared = false;
 
   friend bool operator==(const InstanceLoss &, const InstanceLoss &) = default;
 };
 
-/// What is known of one request, as one process tells it to others.
+/// The losses of one request, as processes exchange them.
 struct SuspectRequest {
   RequestFingerprint m_Request;
   std::vector<InstanceLoss> m_Losses;
@@ -35,41 +35,47 @@
                          const SuspectRequest &) = default;
 };
 
-/// Counts for each request the instances that were lost under it, one after the
-/// other, since one answered it whole. All that an instance had when it crashed
-/// is suspect; what only was there is answered elsewhere soon. Where many are
-/// lost at once, as with their power, requests that many callers send are at
-/// several of them: only what was sent after the loss before it counts beside
-/// it. What was answered here a short while ago crashes no instance. Knowledge
-/// of several processes is put together in any order, and as often as it is
-/// told: it rests on no comparison of their times.
+/// Counts for each request the successive losses of instances that had it since
+/// it was last answered completely.
+///
+/// Every request in flight on a crashed instance is suspect; a harmless one is
+/// soon answered by another instance. When many instances fail at once, for
+/// example in a power failure, a request that many callers send is in flight on
+/// several of them. Losses therefore count separately only if the request was
+/// sent after the previous loss. A request that was answered here shortly
+/// before is harmless.
+///
+/// Updates of several processes can be merged in any order and repeatedly; the
+/// result does not depend on comparing their clocks.
 class HarmfulRequests {
 public:
-  /// Instances that a request may crash before it is refused.
+  /// Losses after which a request is refused.
   static constexpr std::size_t LossesToRefuse = 3;
-  /// For how long it is refused after the last of them, and as long again for
-  /// each further one: it may be refused wrongly, and each try of one that is
-  /// harmful costs an instance.
-  static constexpr Duration RefusalSpan = std::chrono::minutes(2);
+  /// How long a request is refused after the last loss; each further loss adds
+  /// this time again. A compromise: the refusal may be wrong, but each retry of
+  /// a harmful request costs an instance.
+  static constexpr Duration RefusalPeriod = std::chrono::minutes(2);
 
-  /// True where the request is refused from now on and was not before.
+  /// Records the loss of an instance. True if the request is refused from now
+  /// on and was not before.
   bool lost(const RequestFingerprint &Request, const InstanceId &At,
             TimePoint Sent, TimePoint Now);
+  /// Records a complete answer, which clears the request's losses.
   void answered(const RequestFingerprint &Request, TimePoint Now);
-  /// What another process knows. True as for lost().
-  bool hear(const SuspectRequest &Told, TimePoint Now);
+  /// Merges an update of another process. Returns the same as lost().
+  bool hear(const SuspectRequest &Update, TimePoint Now);
 
-  /// Until when the request is refused; nothing where it is not.
+  /// When the refusal of the request ends; nullopt if it is not refused.
   std::optional<TimePoint> refusedUntil(const RequestFingerprint &Request,
                                         TimePoint Now) const;
-  /// Losses one after the other.
+  /// The number of successive losses.
   std::size_t lossesOf(const RequestFingerprint &Request) const;
 
-  /// What other processes are to be told now: what has changed lately, so that
-  /// a lost message is made good by the next, and all that is refused, for
-  /// those that have just started. Refused ones first, at most so many.
+  /// Updates to send to other processes now: recent changes, repeated in case a
+  /// message is lost, and all refused requests, for processes that have just
+  /// started. Returns at most Most, refused requests first.
   std::vector<SuspectRequest> toTell(std::size_t Most, TimePoint Now) const;
-  /// Forgets what is too old to matter; to be called now and then.
+  /// Removes expired losses; to be called periodically.
   void forgetOld(TimePoint Now);
   std::size_t size() const { return m_Suspects.size(); }
 
@@ -80,19 +86,20 @@
 
     std::size_t count() const;
     std::optional<TimePoint> refusedUntil(TimePoint Now) const;
-    bool add(const InstanceLoss &Told);
-    void dropLeast();
+    bool add(const InstanceLoss &Update);
+    void dropLeastRelevant();
     bool clear();
-    bool isWorthTelling(TimePoint Now) const;
+    bool isDueToSend(TimePoint Now) const;
   };
 
-  void makeRoom(TimePoint Now);
+  void evictSuspects(TimePoint Now);
 
-  bool wasAnsweredLately(const RequestFingerprint &Request,
-                         TimePoint Now) const;
+  bool wasAnsweredRecently(const RequestFingerprint &Request,
+                           TimePoint Now) const;
 
   std::map<RequestFingerprint, Suspect> m_Suspects;
-  /// Answered whole since the moment, and in the span before it.
+  /// Requests answered completely since m_AnsweredSince, and in the period
+  /// before it.
   std::set<RequestFingerprint> m_Answered;
   std::set<RequestFingerprint> m_AnsweredBefore;
   TimePoint m_AnsweredSince{};
--- a/include/deckpitch/request-fingerprint.h
+++ b/include/deckpitch/request-fingerprint.h
@@ -1,5 +1,4 @@
-// Tells that a request has come before, though each attempt at it has an id of
-// its own.
+// Identifies repeated requests, although each attempt has its own id.
 #pragma once
 
 #include <compare>
@@ -9,7 +8,7 @@
 
 namespace deckpitch {
 
-/// What stays the same of a request when its caller sends it again.
+/// The parts of a request that stay the same when its caller repeats it.
 struct RequestParts {
   std::string_view m_Organisation; ///< empty: a caller without a key
   std::string_view m_Host;
@@ -18,7 +17,7 @@
   std::string_view m_Body;
 };
 
-/// A hash of these, the same in every process.
+/// A hash of RequestParts that is the same in every process.
 struct RequestFingerprint {
   std::uint64_t m_High = 0;
   std::uint64_t m_Low = 0;
@@ -28,7 +27,7 @@
 };
 
 RequestFingerprint fingerprintOf(const RequestParts &Of);
-/// For log lines: 32 hexadecimal digits.
+/// Formats a fingerprint for log lines as 32 hexadecimal digits.
 std::string textOf(const RequestFingerprint &Value);
 
 } // namespace deckpitch
--- a/include/deckpitch/request-gate.h
+++ b/include/deckpitch/request-gate.h
@@ -1,4 +1,4 @@
-// Whether an agent lets a request through to its engine or service.
+// Checks whether an agent may pass a request on to its engine or service.
 #pragma once
 
 #include "deckpitch/membership.h"
@@ -9,7 +9,7 @@
 
 namespace deckpitch {
 
-/// What the entry bound a request to when it chose the instance.
+/// The state of the instance that the entry relied on when it chose it.
 struct RequestBinding {
   PoolId m_Pool;
   WeightsId m_Weights;  ///< empty for services
@@ -20,7 +20,7 @@
                          const RequestBinding &) = default;
 };
 
-/// Why a request may not run here; nothing when it may.
+/// Why a request may not run on this instance; nullopt if it may.
 std::optional<std::string_view> refusalOf(const RequestBinding &Bound,
                                           const ServingReport &Serving,
                                           Incarnation Own, bool Leaving);
--- a/include/deckpitch/request-outcome.h
+++ b/include/deckpitch/request-outcome.h
@@ -5,14 +5,14 @@
 
 namespace deckpitch {
 
-/// What a caller may rely on once its request has ended.
+/// The guarantee that a caller has once its request has ended.
 enum class RequestOutcome {
-  Answered, ///< ran, and this is its whole answer
-  NotRun,   ///< certainly nothing was run or will be
+  Answered, ///< ran, and this is its complete answer
+  NotRun,   ///< did not run and will not
   Unknown,  ///< may have run
 };
 
-/// The value of the X-Outcome header.
+/// Returns the value of the X-Outcome header.
 constexpr std::string_view toText(RequestOutcome Value) {
   switch (Value) {
   case RequestOutcome::Answered:
@@ -25,7 +25,7 @@
   return "unknown";
 }
 
-/// Reads the value of an X-Outcome header; anything else is Unknown.
+/// Parses the value of an X-Outcome header; any other text gives Unknown.
 constexpr RequestOutcome parseRequestOutcome(std::string_view Text) {
   if (Text == "answered")
     return RequestOutcome::Answered;
--- a/include/deckpitch/retry-window.h
+++ b/include/deckpitch/retry-window.h
@@ -1,4 +1,5 @@
-// Retries of one entry, out of what all entries together may send.
+// Limits the retries of one entry so that all entries together stay within a
+// common limit.
 #pragma once
 
 #include "deckpitch/time.h"
@@ -10,8 +11,8 @@
 
 namespace deckpitch {
 
-/// What the retries of all entries may add up to in any window: a share of the
-/// requests in it, and a slack beside them.
+/// The limit on the retries of all entries together in any window: a share of
+/// the requests in that window, plus a fixed slack.
 struct RetryShare {
   double m_Share = 0.2;
   double m_Slack = 100;
@@ -20,54 +21,56 @@
   friend bool operator==(const RetryShare &, const RetryShare &) = default;
 };
 
-/// What one entry has done in the last window, and what it may.
+/// The requests and retries of one entry in the last window, and the retries
+/// that it is allowed.
 struct RetryUse {
   std::uint64_t m_Requests = 0;
   std::uint64_t m_Retries = 0;
   double m_Allowed = 0;
-  std::size_t m_Entries = 0; ///< that share the slack; 0: not known
+  std::size_t m_Entries = 0; ///< entries that share the slack; 0: unknown
   Duration m_Age{};          ///< of this process
 
   friend bool operator==(const RetryUse &, const RetryUse &) = default;
 };
 
-/// Holds whatever starts, ends or is cut off meanwhile: each entry uses its
-/// share of its own requests, and of the slack an equal part, by the most
-/// entries that it knew in the window. What it did before a restart is not
-/// known any more, so a process that is younger than a window uses no slack.
-/// No clock of its own; times never decrease.
+/// Enforces a RetryShare without coordination, so that it holds while entries
+/// start, stop or are partitioned. Each entry may retry the given share of its
+/// own requests and uses an equal part of the slack, divided by the largest
+/// number of entries known in the window. Its retries before a restart are
+/// unknown, so a process younger than one window uses no slack. Reads no clock;
+/// the times passed in must not decrease.
 class RetryWindow {
 public:
-  RetryWindow(RetryShare All, TimePoint ProcessStart);
+  RetryWindow(RetryShare FleetShare, TimePoint ProcessStart);
 
-  /// Entries that there are, this one included, whether they are heard or not;
-  /// 0 where that is not known, and then there is no slack either.
+  /// Sets the number of entries, including this one and those that cannot be
+  /// reached. 0 means unknown, which disables the slack.
   void setEntries(std::size_t Count, TimePoint Now);
   /// Counts a request.
   void arrived(TimePoint Now);
-  /// Counts a retry; false where it is not allowed.
+  /// Counts a retry if it is allowed; false otherwise.
   bool tryRetry(TimePoint Now);
   RetryUse use(TimePoint Now) const;
 
 private:
-  /// The window is forgotten in that many steps.
-  static constexpr std::size_t Steps = 10;
+  /// Resolution in which the window slides.
+  static constexpr std::size_t BucketCount = 10;
 
-  struct Step {
+  struct Bucket {
     std::int64_t m_Number = -1;
     std::uint64_t m_Requests = 0;
     std::uint64_t m_Retries = 0;
-    std::size_t m_MostEntries = 0;
+    std::size_t m_MaxEntries = 0;
   };
 
-  std::int64_t numberOf(TimePoint Now) const;
-  Step &stepAt(TimePoint Now);
+  std::int64_t bucketNumber(TimePoint Now) const;
+  Bucket &bucketAt(TimePoint Now);
 
-  RetryShare m_All;
+  RetryShare m_FleetShare;
   TimePoint m_Start;
   std::size_t m_Entries = 0;
-  /// One more than the window has: the oldest is in it only in part.
-  std::array<Step, Steps + 1> m_Steps{};
+  /// One more than the window has, since it covers the oldest only partly.
+  std::array<Bucket, BucketCount + 1> m_Buckets{};
 };
 
 } // namespace deckpitch
--- a/include/deckpitch/token-bucket.h
+++ b/include/deckpitch/token-bucket.h
@@ -1,4 +1,4 @@
-// Shapes a link: tells how long to wait before so many bytes may pass.
+// Limits the rate of a link.
 #pragma once
 
 #include "deckpitch/time.h"
@@ -8,21 +8,25 @@
 
 namespace deckpitch {
 
-/// Callers wait in the order in which they ask. A rate of 0 is unlimited.
+/// A token bucket that returns how long to wait before a number of bytes may be
+/// sent. Callers are served in the order of their calls. A rate of 0 is
+/// unlimited.
 ///
 ///   TokenBucket Link(1'000'000, 64 * 1024);
 ///   wait(Link.take(Piece.size(), Now));
 class TokenBucket {
 public:
-  /// Burst: bytes that may pass at once after a rest.
+  /// Burst is the number of bytes that may be sent at once after an idle
+  /// period.
   TokenBucket(std::uint64_t BytesPerSecond, std::uint64_t Burst)
       : m_Rate(BytesPerSecond), m_Burst(Burst) {}
 
   Duration take(std::uint64_t Bytes, TimePoint Now) {
     if (m_Rate == 0)
       return Duration::zero();
-    m_Paid = std::max(m_Paid, Now - timeFor(m_Burst)) + timeFor(Bytes);
-    return std::max(m_Paid - Now, Duration::zero());
+    m_BusyUntil =
+        std::max(m_BusyUntil, Now - timeFor(m_Burst)) + timeFor(Bytes);
+    return std::max(m_BusyUntil - Now, Duration::zero());
   }
 
 private:
@@ -33,7 +37,7 @@
 
   std::uint64_t m_Rate;
   std::uint64_t m_Burst;
-  TimePoint m_Paid{};
+  TimePoint m_BusyUntil{};
 };
 
 } // namespace deckpitch
--- a/include/deckpitch/upstream-choice.h
+++ b/include/deckpitch/upstream-choice.h
@@ -1,4 +1,4 @@
-// Picks the upstream of one attempt.
+// Chooses the upstream of an attempt.
 #pragma once
 
 #include "deckpitch/time.h"
@@ -11,53 +11,56 @@
 
 namespace deckpitch {
 
-/// What is known of an upstream when an attempt is to be sent.
+/// The state of an upstream when an attempt is to be sent.
 struct Candidate {
-  std::size_t m_Index = 0;  ///< the caller's name for it
-  std::uint32_t m_Own = 0;  ///< in flight from this entry: exact
-  double m_Others = 0;      ///< in flight from others: as last reported
-  double m_Limit = 1;       ///< what it can take at once, from all
-  double m_OwnLimit = 1;    ///< what this entry has learned to send it
-  std::uint64_t m_Rank = 0; ///< of the prompt's prefix; 0 when it has none
-  bool m_Near = false;      ///< same data centre
-  bool m_Suspect = false;   ///< heartbeats are late
-  bool m_Ejected = false;   ///< failed more than its peers lately
+  std::size_t m_Index = 0; ///< assigned by the caller
+  std::uint32_t m_Own = 0; ///< in flight from this entry, exact
+  double m_Others = 0;     ///< in flight from other entries, last reported
+  double m_Limit = 1;      ///< concurrent requests it can take from all entries
+  double m_OwnLimit = 1;   ///< limit that this entry has learned for itself
+  std::uint64_t m_Rank =
+      0;                  ///< rank for the prompt's prefix; 0 without a prefix
+  bool m_Near = false;    ///< in the same data centre
+  bool m_Suspect = false; ///< heartbeats are late
+  bool m_Ejected = false; ///< recently failed repeatedly
 
   double load() const { return (m_Own + m_Others) / m_Limit; }
-  bool hasRoom() const { return m_Own < m_OwnLimit; }
+  bool hasFreeCapacity() const { return m_Own < m_OwnLimit; }
 };
 
-/// Keeps an upstream that fails again and again out of the choice for a
-/// while, longer each time.
+/// Excludes an upstream that fails repeatedly from the choice, for a period
+/// that doubles each time.
 class Ejection {
 public:
-  /// True where this one has it ejected.
+  /// Counts a failure; true if it ejects the upstream.
   bool failed(TimePoint Now);
   void succeeded();
   TimePoint until() const { return m_Until; }
 
 private:
-  std::uint32_t m_Failures = 0; ///< in a row
-  std::uint32_t m_Times = 0;    ///< ejected without a success since
+  std::uint32_t m_Failures = 0;  ///< consecutive failures
+  std::uint32_t m_Ejections = 0; ///< ejections since the last success
   TimePoint m_Until;
 };
 
 namespace detail {
 
-/// The candidates among which load decides: near ones with room, else any
-/// with room, else all; ejected and suspect ones only when others are few.
+/// The candidates among which load decides: local ones with free capacity, else
+/// any with free capacity, else all. Ejected and suspect candidates are
+/// included only if too few others are left.
 std::vector<Candidate> preferredCandidates(std::span<const Candidate> All);
 
-/// The preferred candidate that likely holds the prefix, unless it is busier
-/// than most.
+/// The preferred candidate that most likely has the prompt's prefix cached,
+/// unless its load is well above the mean.
 std::optional<std::size_t>
 prefixCandidate(const std::vector<Candidate> &Preferred);
 
 } // namespace detail
 
-/// Power of two choices over the entry's own counts and the others' reported
-/// ones: a stale report misleads only those who draw it, so entries do not
-/// all run to the same upstream. Gives the candidate's index.
+/// Chooses the less loaded of two random candidates ("power of two choices"),
+/// by the entry's own counts and those reported by other entries. A stale
+/// report affects only the draws that include its upstream, so the entries do
+/// not all choose the same one. Returns the candidate's index.
 template <std::uniform_random_bit_generator Generator>
 std::optional<std::size_t> chooseUpstream(std::span<const Candidate> All,
                                           Generator &Random) {
--- a/src/kernel/harmful-requests.cc
+++ b/src/kernel/harmful-requests.cc
@@ -10,35 +10,36 @@
 
 namespace {
 
-/// Losses are counted together over this span.
-constexpr Duration LossMemory = std::chrono::hours(1);
-/// For how long a change is told again and again: several messages between two
-/// processes.
-constexpr Duration TellSpan = std::chrono::seconds(5);
-/// Of one request, cleared ones included.
-constexpr std::size_t MostLosses = 8;
-static_assert(MostLosses > HarmfulRequests::LossesToRefuse);
-/// Each takes some 200 bytes. A crash leaves some dozens.
-constexpr std::size_t MostSuspects = 2'048;
-/// Answers are remembered for one to two of these.
-constexpr Duration AnsweredSpan = std::chrono::seconds(30);
-constexpr std::size_t MostAnswered = 4'096;
-/// Dropped together where there are too many, so that a flood costs little.
-constexpr std::size_t DroppedAtOnce = MostSuspects / 4;
+/// Losses within this period count together.
+constexpr Duration LossRetention = std::chrono::hours(1);
+/// How long a change is sent repeatedly, which covers several messages between
+/// two processes.
+constexpr Duration ResendPeriod = std::chrono::seconds(5);
+/// Losses kept per request, including cleared ones.
+constexpr std::size_t MaxLosses = 8;
+static_assert(MaxLosses > HarmfulRequests::LossesToRefuse);
+/// Each takes about 200 bytes, and a crash adds a few dozen.
+constexpr std::size_t MaxSuspects = 2'048;
+/// Answers are remembered for one to two of these periods.
+constexpr Duration AnsweredPeriod = std::chrono::seconds(30);
+constexpr std::size_t MaxAnswered = 4'096;
+/// Evicted in one batch, so that a flood of suspects costs little.
+constexpr std::size_t EvictionBatch = MaxSuspects / 4;
 
 std::uint64_t hashOf(const InstanceId &Id) {
   return XXH3_64bits(Id.m_Text.data(), Id.m_Text.size());
 }
 
-/// What is kept, and told, before others.
+/// Orders suspects for eviction (lowest first) and sending (highest first).
 template <typename Suspect> auto rankOf(const Suspect &Of) {
   return std::pair(Of.count(), Of.m_Changed);
 }
 
 } // namespace
 
-/// The most that do not overlap: the one that ended first, then the one that
-/// ended first of those sent after it, and so on.
+/// The largest number of losses whose [sent, lost] intervals do not overlap:
+/// takes the one that ended first, then the first to end of those sent after
+/// it, and so on.
 std::size_t HarmfulRequests::Suspect::count() const {
   std::vector<const InstanceLoss *> ByEnd;
   for (const InstanceLoss &Each : m_Losses)
@@ -67,31 +68,32 @@
     if (!Each.m_IsCleared)
       Last = std::max(Last, Each.m_At);
   const TimePoint Until =
-      Last + RefusalSpan * static_cast<int>(Count - LossesToRefuse + 1);
+      Last + RefusalPeriod * static_cast<int>(Count - LossesToRefuse + 1);
   if (Until <= Now)
     return std::nullopt;
   return Until;
 }
 
-/// Whether that is news. One that is told again is not newer, though its age
-/// has grown by what each message took.
-bool HarmfulRequests::Suspect::add(const InstanceLoss &Told) {
+/// Merges a loss; true if the count changes. A repeated loss keeps its first
+/// times, since the delay of each message would shift them.
+bool HarmfulRequests::Suspect::add(const InstanceLoss &Update) {
   const std::size_t Before = count();
   const auto Known = std::find_if(m_Losses.begin(), m_Losses.end(),
                                   [&](const InstanceLoss &Each) {
-                                    return Each.m_Instance == Told.m_Instance;
+                                    return Each.m_Instance == Update.m_Instance;
                                   });
   if (Known == m_Losses.end())
-    m_Losses.push_back(Told);
+    m_Losses.push_back(Update);
   else
-    Known->m_IsCleared = Known->m_IsCleared || Told.m_IsCleared;
-  if (m_Losses.size() > MostLosses)
-    dropLeast();
+    Known->m_IsCleared = Known->m_IsCleared || Update.m_IsCleared;
+  if (m_Losses.size() > MaxLosses)
+    dropLeastRelevant();
   return count() != Before;
 }
 
-/// A cleared one; else one that adds nothing to the count, the oldest of them.
-void HarmfulRequests::Suspect::dropLeast() {
+/// Drops a cleared loss or else one that does not affect the count; the oldest
+/// if there are several.
+void HarmfulRequests::Suspect::dropLeastRelevant() {
   const auto Rank = [this](const InstanceLoss &Of) {
     Suspect Without = *this;
     std::erase(Without.m_Losses, Of);
@@ -105,14 +107,14 @@
 }
 
 bool HarmfulRequests::Suspect::clear() {
-  const bool IsNews = count() > 0;
+  const bool HadLosses = count() > 0;
   for (InstanceLoss &Each : m_Losses)
     Each.m_IsCleared = true;
-  return IsNews;
+  return HadLosses;
 }
 
-bool HarmfulRequests::Suspect::isWorthTelling(TimePoint Now) const {
-  return Now - m_Changed < TellSpan || refusedUntil(Now);
+bool HarmfulRequests::Suspect::isDueToSend(TimePoint Now) const {
+  return Now - m_Changed < ResendPeriod || refusedUntil(Now);
 }
 
 std::optional<TimePoint>
@@ -129,16 +131,16 @@
   return Found == m_Suspects.end() ? 0 : Found->second.count();
 }
 
-/// Those that were lost least often, and longest ago, make room.
-void HarmfulRequests::makeRoom(TimePoint Now) {
+/// Evicts the suspects with the fewest and oldest losses.
+void HarmfulRequests::evictSuspects(TimePoint Now) {
   forgetOld(Now);
-  if (m_Suspects.size() < MostSuspects)
+  if (m_Suspects.size() < MaxSuspects)
     return;
   using Entry = decltype(m_Suspects)::iterator;
   std::vector<Entry> All;
   for (Entry It = m_Suspects.begin(); It != m_Suspects.end(); ++It)
     All.push_back(It);
-  const auto End = All.begin() + static_cast<long>(DroppedAtOnce);
+  const auto End = All.begin() + static_cast<long>(EvictionBatch);
   std::nth_element(All.begin(), End, All.end(),
                    [](const Entry &One, const Entry &Other) {
                      return rankOf(One->second) < rankOf(Other->second);
@@ -155,8 +157,8 @@
 
 void HarmfulRequests::answered(const RequestFingerprint &Request,
                                TimePoint Now) {
-  if (Now - m_AnsweredSince >= AnsweredSpan ||
-      m_Answered.size() >= MostAnswered) {
+  if (Now - m_AnsweredSince >= AnsweredPeriod ||
+      m_Answered.size() >= MaxAnswered) {
     m_AnsweredBefore = std::exchange(m_Answered, {});
     m_AnsweredSince = Now;
   }
@@ -166,22 +168,23 @@
     Found->second.m_Changed = Now;
 }
 
-bool HarmfulRequests::wasAnsweredLately(const RequestFingerprint &Request,
-                                        TimePoint Now) const {
+bool HarmfulRequests::wasAnsweredRecently(const RequestFingerprint &Request,
+                                          TimePoint Now) const {
   const Duration Age = Now - m_AnsweredSince;
-  return (Age < 2 * AnsweredSpan && m_Answered.contains(Request)) ||
-         (Age < AnsweredSpan && m_AnsweredBefore.contains(Request));
+  return (Age < 2 * AnsweredPeriod && m_Answered.contains(Request)) ||
+         (Age < AnsweredPeriod && m_AnsweredBefore.contains(Request));
 }
 
-bool HarmfulRequests::hear(const SuspectRequest &Told, TimePoint Now) {
-  if (m_Suspects.size() >= MostSuspects && !m_Suspects.contains(Told.m_Request))
-    makeRoom(Now);
-  Suspect &Known = m_Suspects[Told.m_Request];
+bool HarmfulRequests::hear(const SuspectRequest &Update, TimePoint Now) {
+  if (m_Suspects.size() >= MaxSuspects &&
+      !m_Suspects.contains(Update.m_Request))
+    evictSuspects(Now);
+  Suspect &Known = m_Suspects[Update.m_Request];
   const bool WasRefused = Known.refusedUntil(Now).has_value();
-  for (const InstanceLoss &Each : Told.m_Losses)
-    if (Now - Each.m_At < LossMemory && Known.add(Each))
+  for (const InstanceLoss &Each : Update.m_Losses)
+    if (Now - Each.m_At < LossRetention && Known.add(Each))
       Known.m_Changed = Now;
-  if (wasAnsweredLately(Told.m_Request, Now) && Known.clear())
+  if (wasAnsweredRecently(Update.m_Request, Now) && Known.clear())
     Known.m_Changed = Now;
   return !WasRefused && Known.refusedUntil(Now);
 }
@@ -190,7 +193,7 @@
                                                     TimePoint Now) const {
   std::vector<const std::pair<const RequestFingerprint, Suspect> *> Due;
   for (const auto &Each : m_Suspects)
-    if (Each.second.isWorthTelling(Now))
+    if (Each.second.isDueToSend(Now))
       Due.push_back(&Each);
   const std::size_t Count = std::min(Most, Due.size());
   std::partial_sort(Due.begin(), Due.begin() + static_cast<long>(Count),
@@ -206,7 +209,7 @@
 void HarmfulRequests::forgetOld(TimePoint Now) {
   for (auto &[Request, Each] : m_Suspects)
     std::erase_if(Each.m_Losses, [Now](const InstanceLoss &Loss) {
-      return Now - Loss.m_At >= LossMemory;
+      return Now - Loss.m_At >= LossRetention;
     });
   std::erase_if(m_Suspects,
                 [](const auto &Each) { return Each.second.m_Losses.empty(); });
--- a/src/kernel/request-fingerprint.cc
+++ b/src/kernel/request-fingerprint.cc
@@ -16,7 +16,8 @@
 } // namespace
 
 RequestFingerprint fingerprintOf(const RequestParts &Of) {
-  // Each by itself: what one part ends with is not another's beginning.
+  // Hashes each part separately, so that moving text across the boundary of two
+  // parts changes the result.
   const std::array<XXH128_hash_t, 5> Parts{
       hashOf(Of.m_Organisation), hashOf(Of.m_Host), hashOf(Of.m_Method),
       hashOf(Of.m_Target), hashOf(Of.m_Body)};
--- a/src/kernel/retry.cc
+++ b/src/kernel/retry.cc
@@ -6,8 +6,8 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds LongStall{5'000};
-constexpr std::chrono::milliseconds ShortStall{2'000};
+constexpr std::chrono::milliseconds LongStallTimeout{5'000};
+constexpr std::chrono::milliseconds ShortStallTimeout{2'000};
 
 bool mayTryAnother(AttemptEnd End, const CallState &State) {
   if (!State.m_TimeLeft || !State.m_OtherUpstream ||
@@ -30,19 +30,20 @@
   return State.m_Fenceable ? NextStep::Fence : NextStep::Unknown;
 }
 
-std::chrono::milliseconds stallLimit(bool OtherUpstream, bool BudgetStrained) {
-  return OtherUpstream && !BudgetStrained ? ShortStall : LongStall;
+std::chrono::milliseconds stallLimit(bool OtherUpstream, bool BudgetIsLow) {
+  return OtherUpstream && !BudgetIsLow ? ShortStallTimeout : LongStallTimeout;
 }
 
 RetryBudget::RetryBudget(double Share, std::uint32_t Burst)
-    : m_Deposit(static_cast<std::int64_t>(Share * Unit)), m_Most(Burst * Unit),
-      m_Level(m_Most) {}
+    : m_Deposit(static_cast<std::int64_t>(Share * Unit)),
+      m_MaxLevel(Burst * Unit), m_Level(m_MaxLevel) {}
 
 void RetryBudget::deposit() {
   std::int64_t Level = m_Level.load(std::memory_order_relaxed);
-  while (Level < m_Most && !m_Level.compare_exchange_weak(
-                               Level, std::min(m_Most, Level + m_Deposit),
-                               std::memory_order_relaxed)) {
+  while (Level < m_MaxLevel &&
+         !m_Level.compare_exchange_weak(Level,
+                                        std::min(m_MaxLevel, Level + m_Deposit),
+                                        std::memory_order_relaxed)) {
   }
 }
 
@@ -57,7 +58,7 @@
 }
 
 bool RetryBudget::strained() const {
-  return m_Level.load(std::memory_order_relaxed) < m_Most / 2;
+  return m_Level.load(std::memory_order_relaxed) < m_MaxLevel / 2;
 }
 
 } // namespace deckpitch
--- a/src/kernel/upstream-choice.cc
+++ b/src/kernel/upstream-choice.cc
@@ -7,8 +7,8 @@
 namespace {
 
 constexpr std::uint32_t FailuresToEject = 5;
-constexpr std::chrono::seconds FirstEjection{2};
-constexpr std::uint32_t MostDoublings = 5;
+constexpr std::chrono::seconds InitialEjection{2};
+constexpr std::uint32_t MaxDoublings = 5;
 
 } // namespace
 
@@ -16,14 +16,14 @@
   if (++m_Failures < FailuresToEject)
     return false;
   m_Failures = 0;
-  m_Until = Now + FirstEjection * (1U << std::min(m_Times, MostDoublings));
-  ++m_Times;
+  m_Until = Now + InitialEjection * (1U << std::min(m_Ejections, MaxDoublings));
+  ++m_Ejections;
   return true;
 }
 
 void Ejection::succeeded() {
   m_Failures = 0;
-  m_Times = 0;
+  m_Ejections = 0;
 }
 
 } // namespace deckpitch
@@ -32,11 +32,13 @@
 
 namespace {
 
-/// The busiest a prefix's upstream may be, over the mean of its peers.
+/// How far the load of a prefix's upstream may exceed the mean of the preferred
+/// candidates.
 constexpr double PrefixLoadFactor = 1.25;
 constexpr double PrefixLoadSlack = 0.05;
-/// Ejection never takes more than this share of a pool.
-constexpr double EjectionFloor = 0.5;
+/// If fewer than this share of the pool are neither ejected nor suspect, all
+/// are used.
+constexpr double MinHealthyShare = 0.5;
 
 template <typename Predicate>
 std::vector<Candidate> keepIf(std::span<const Candidate> All, Predicate Keep) {
@@ -50,7 +52,7 @@
     return !Each.m_Ejected && !Each.m_Suspect;
   });
   if (static_cast<double>(Left.size()) >=
-          EjectionFloor * static_cast<double>(All.size()) &&
+          MinHealthyShare * static_cast<double>(All.size()) &&
       !Left.empty())
     return Left;
   return {All.begin(), All.end()};
@@ -60,12 +62,13 @@
 
 std::vector<Candidate> preferredCandidates(std::span<const Candidate> All) {
   const std::vector<Candidate> Healthy = healthyCandidates(All);
-  const auto Roomy =
-      keepIf(Healthy, [](const Candidate &Each) { return Each.hasRoom(); });
-  auto Near = keepIf(Roomy, [](const Candidate &Each) { return Each.m_Near; });
-  if (!Near.empty())
-    return Near;
-  return Roomy.empty() ? Healthy : Roomy;
+  const auto WithFreeCapacity = keepIf(
+      Healthy, [](const Candidate &Each) { return Each.hasFreeCapacity(); });
+  auto Local = keepIf(WithFreeCapacity,
+                      [](const Candidate &Each) { return Each.m_Near; });
+  if (!Local.empty())
+    return Local;
+  return WithFreeCapacity.empty() ? Healthy : WithFreeCapacity;
 }
 
 std::optional<std::size_t>
--- a/test/admission-test.cc
+++ b/test/admission-test.cc
@@ -28,7 +28,7 @@
   return Ids;
 }
 
-TEST(AdmissionQueue, AdmitsUpToCapacityAndThenInTurn) {
+TEST(AdmissionQueue, AdmitsUpToCapacityAndThenInOrder) {
   AdmissionQueue Queue;
   for (AdmissionId Id = 1; Id <= 3; ++Id)
     Queue.arrive(request(Id, "a"), 2, Start);
@@ -37,8 +37,9 @@
   EXPECT_EQ(admitted(Queue), (std::vector<AdmissionId>{3}));
 }
 
-// After a night without requests the first to wait is not told hours.
-TEST(AdmissionQueue, IdleTimeIsNoMeasureOfTheDrain) {
+// Idle time that counts towards the completion rate would make the first
+// request that waits after a quiet night expect hours.
+TEST(AdmissionQueue, IdleTimeDoesNotLowerTheCompletionRate) {
   const TimePoint Deadline = Start + 20h;
   AdmissionQueue Queue;
   for (int I = 0; I < 20; ++I) {
@@ -55,7 +56,7 @@
   EXPECT_LT(Queue.expectedWait(Priority::Normal), 1s);
 }
 
-// A few slow first bytes are no sign of load where little is in flight.
+// Slow first bytes are no evidence of load while few requests are in flight.
 TEST(ConcurrencyLimit, ShrinksOnlyUnderLoad) {
   ConcurrencyLimit Limit(16);
   for (int I = 0; I < 100; ++I)
@@ -63,7 +64,7 @@
   EXPECT_EQ(Limit.limit(), 16);
 }
 
-TEST(AdmissionQueue, SharesByWeightAndLendsWhatIsUnused) {
+TEST(AdmissionQueue, SharesByWeightAndReusesIdleCapacity) {
   AdmissionQueue Queue({.m_QueueLimit = 1'000});
   Queue.setShare({"large"}, 3, 1'000);
   Queue.setShare({"small"}, 1, 1'000);
@@ -92,11 +93,11 @@
   EXPECT_GE(Served["small"], 160);
 }
 
-TEST(AdmissionQueue, UrgentGoesFirstAndLowIsNotStarved) {
-  // The low one waits beside urgent ones of its own or another organisation,
-  // which never end.
+TEST(AdmissionQueue, UrgentGoesFirstAndLowDoesNotStarve) {
+  // The low-priority request waits while urgent requests of its own or another
+  // organisation keep arriving.
   for (const std::string Other : {"a", "b"}) {
-    AdmissionQueue Queue({.m_AgeStep = 2s});
+    AdmissionQueue Queue({.m_PromotionInterval = 2s});
     std::map<AdmissionId, std::string> Of{{1, "a"}, {2, "a"}, {3, Other}};
     Queue.arrive(request(1, "a"), 1, Start);
     Queue.arrive(request(2, "a", Priority::Low), 1, Start);
@@ -123,7 +124,7 @@
   }
 }
 
-TEST(AdmissionQueue, RefusesAtOnceWhatCannotBeServedInTime) {
+TEST(AdmissionQueue, RefusesImmediatelyIfDeadlineCannotBeMet) {
   AdmissionQueue Queue;
   Queue.arrive(request(1, "a"), 1, Start);
   for (AdmissionId Id = 2; Id <= 21; ++Id)
@@ -131,7 +132,8 @@
   for (int I = 1; I <= 10; ++I)
     Queue.leave({"a"}, 1, Start + I * 100ms);
   Queue.takeDecisions();
-  // Ten wait and one ends each 100 ms or so: half a second is too short.
+  // Ten requests wait and one ends about every 100 ms, so a deadline of 300 ms
+  // cannot be met.
   const TimePoint Now = Start + 1s;
   Queue.arrive(request(50, "a", Priority::Normal, Now + 300ms), 1, Now);
   const auto Decisions = Queue.takeDecisions();
@@ -141,7 +143,7 @@
   EXPECT_LE(Decisions[0].m_RetryAfter, 30s);
 }
 
-TEST(AdmissionQueue, RefusesAtTheDeadlineAndWhenFull) {
+TEST(AdmissionQueue, RefusesAtDeadlineAndWhenFull) {
   AdmissionQueue Queue({.m_QueueLimit = 2});
   Queue.arrive(request(1, "a"), 1, Start);
   Queue.arrive(request(2, "a", Priority::Low, Start + 1s), 1, Start);
@@ -174,7 +176,7 @@
   EXPECT_EQ(Idle.limit(), 16);
 }
 
-TEST(RetryBudget, RetriesOfAllEntriesStayAShareOfFreshRequests) {
+TEST(RetryBudget, RetriesOfAllEntriesStayWithinShareOfFreshRequests) {
   constexpr int Entries = 7;
   std::vector<std::unique_ptr<RetryBudget>> Budgets;
   Budgets.reserve(Entries);
@@ -191,9 +193,9 @@
   EXPECT_LE(Retries, Fresh / 10 + Entries * 10);
 }
 
-// A stream that stalls in a rollout must move before its weights are gone; in
-// a pool that stalls as a whole, moving streams would only add load.
-TEST(RetryBudget, StreamsMoveEarlyOnlyWhileFewAreLost) {
+// A stream that stalls during a rollout must move before its weights are
+// replaced; in a pool that stalls as a whole, moving streams only adds load.
+TEST(RetryBudget, StreamsMoveEarlyOnlyWhileFewAttemptsAreLost) {
   RetryBudget Budget(0.1, 4);
   const auto Early = stallLimit(true, Budget.strained());
   EXPECT_LT(Early, stallLimit(false, Budget.strained()));
@@ -212,7 +214,7 @@
   NextStep m_Expected;
 };
 
-TEST(AfterAttempt, NeverRepeatsWhatMayHaveRunUnlessIdempotent) {
+TEST(AfterAttempt, NeverRetriesNonIdempotentRequestThatMayHaveRun) {
   const CallState Free{.m_Idempotent = true,
                        .m_OtherUpstream = true,
                        .m_BudgetAllows = true,
@@ -248,7 +250,7 @@
         << Each.m_Name;
 }
 
-TEST(UpstreamChoice, PrefersNearRoomyAndHealthyOnes) {
+TEST(UpstreamChoice, PrefersLocalHealthyUpstreamsWithFreeCapacity) {
   std::mt19937 Random(1);
   std::vector<Candidate> All;
   for (std::size_t I = 0; I < 6; ++I)
@@ -267,7 +269,7 @@
   EXPECT_FALSE(chooseUpstream(std::span<const Candidate>(), Random));
 }
 
-TEST(UpstreamChoice, GivesUpAPrefixsUpstreamUnderLoad) {
+TEST(UpstreamChoice, LeavesPrefixUpstreamUnderLoad) {
   std::mt19937 Random(1);
   std::vector<Candidate> All;
   for (std::size_t I = 0; I < 4; ++I)
@@ -283,7 +285,7 @@
     EXPECT_LT(*chooseUpstream(All, Random), 3u);
 }
 
-TEST(Ejection, LastsLongerEachTime) {
+TEST(Ejection, DoublesWithEachRepetition) {
   Ejection State;
   for (int I = 0; I < 4; ++I)
     State.failed(Start);
--- a/test/harmful-requests-test.cc
+++ b/test/harmful-requests-test.cc
@@ -19,31 +19,31 @@
 
 InstanceId instance(int Number) { return {"i-" + std::to_string(Number)}; }
 
-/// Each is sent half a second before its instance is lost.
+/// Records a loss half a second after the request was sent.
 bool lose(HarmfulRequests &At, const RequestFingerprint &Request,
           const InstanceId &Instance, TimePoint Now) {
   return At.lost(Request, Instance, Now - 500ms, Now);
 }
 
-/// The request is lost at so many instances, a second apart.
+/// Records the losses of several instances, one second apart.
 void lose(HarmfulRequests &At, const RequestFingerprint &Request, int Count,
           TimePoint From = Start) {
   for (int I = 0; I < Count; ++I)
     lose(At, Request, instance(I), From + I * 1s);
 }
 
-TEST(HarmfulRequests, RefusesWhatCrashedThreeInstances) {
+TEST(HarmfulRequests, RefusesRequestThatCrashedThreeInstances) {
   HarmfulRequests All;
   EXPECT_FALSE(lose(All, Harmful, instance(1), Start));
   EXPECT_FALSE(lose(All, Harmful, instance(2), Start + 1s));
   EXPECT_FALSE(All.refusedUntil(Harmful, Start + 1s));
   EXPECT_TRUE(lose(All, Harmful, instance(3), Start + 2s));
   EXPECT_EQ(All.refusedUntil(Harmful, Start + 2s),
-            Start + 2s + HarmfulRequests::RefusalSpan);
+            Start + 2s + HarmfulRequests::RefusalPeriod);
   EXPECT_FALSE(All.refusedUntil(Harmless, Start + 2s));
 }
 
-/// An instance that is merely bad ends many requests, and one many times.
+/// A faulty instance loses many requests, and the same one many times.
 TEST(HarmfulRequests, CountsEachInstanceOnce) {
   HarmfulRequests All;
   for (int I = 0; I < 10; ++I)
@@ -51,7 +51,7 @@
   EXPECT_EQ(All.lossesOf(Harmless), 1U);
 }
 
-TEST(HarmfulRequests, ForgivesWhatWasAnsweredWhole) {
+TEST(HarmfulRequests, CompleteAnswerClearsLosses) {
   HarmfulRequests All;
   lose(All, Harmless, 2);
   All.answered(Harmless, Start + 3s);
@@ -61,26 +61,26 @@
   EXPECT_FALSE(All.refusedUntil(Harmless, Start + 5s));
 }
 
-TEST(HarmfulRequests, TriesARefusedOneAgainAfterAWhile) {
+TEST(HarmfulRequests, RefusalExpiresAndDoublesAfterFurtherLoss) {
   HarmfulRequests All;
   lose(All, Harmful, 3);
-  const TimePoint Later = Start + 2s + HarmfulRequests::RefusalSpan;
+  const TimePoint Later = Start + 2s + HarmfulRequests::RefusalPeriod;
   EXPECT_TRUE(All.refusedUntil(Harmful, Later - 1ns));
   EXPECT_FALSE(All.refusedUntil(Harmful, Later));
   EXPECT_TRUE(lose(All, Harmful, instance(7), Later));
   EXPECT_EQ(All.refusedUntil(Harmful, Later),
-            Later + 2 * HarmfulRequests::RefusalSpan);
+            Later + 2 * HarmfulRequests::RefusalPeriod);
 }
 
-/// Three instances lost their power at once, and a request that many callers
-/// send was at each of them.
-TEST(HarmfulRequests, CountsWhatWasLostAtOnceOnce) {
+/// Several instances lose power at once, each with the same harmless request
+/// that many callers send.
+TEST(HarmfulRequests, CountsSimultaneousLossesOnce) {
   HarmfulRequests All;
   for (int I = 0; I < 20; ++I)
     EXPECT_FALSE(
         All.lost(Harmless, instance(I), Start - I * 10ms, Start + I * 1ms));
   EXPECT_EQ(All.lossesOf(Harmless), 1U);
-  // Nor does what was lost at once push out what was lost before.
+  // Simultaneous losses do not displace earlier ones either.
   EXPECT_FALSE(lose(All, Harmless, instance(20), Start + 1s));
   for (int I = 30; I < 50; ++I)
     All.lost(Harmless, instance(I), Start + 900ms, Start + 1s + I * 1ms);
@@ -88,9 +88,9 @@
   EXPECT_TRUE(lose(All, Harmless, instance(21), Start + 2s));
 }
 
-/// Others crashed three instances in a row, and a request that many callers
-/// send was at each; it had just been answered, and soon would be again.
-TEST(HarmfulRequests, DoesNotSuspectWhatWasAnsweredLately) {
+/// Other requests crash three instances in a row, each of which also has a
+/// harmless request that many callers send and that was just answered.
+TEST(HarmfulRequests, DoesNotSuspectRecentlyAnsweredRequest) {
   HarmfulRequests One;
   HarmfulRequests Other;
   Other.answered(Harmless, Start - 10s);
@@ -99,29 +99,29 @@
   EXPECT_FALSE(Other.hear(One.toTell(Many, Start + 3s)[0], Start + 3s));
   One.hear(Other.toTell(Many, Start + 3s)[0], Start + 3s);
   EXPECT_FALSE(One.refusedUntil(Harmless, Start + 3s));
-  // An answer of long ago says nothing: other weights may be served by now.
+  // An old answer proves nothing, since other weights may be served by now.
   for (int I = 0; I < 3; ++I)
     lose(Other, Harmless, instance(10 + I), Start + 130s + I * 1s);
   EXPECT_TRUE(Other.refusedUntil(Harmless, Start + 133s));
 }
 
-/// Each attempt came to another entry, and none of them saw three.
-TEST(HarmfulRequests, PutsTogetherWhatSeveralSaw) {
+/// The attempts arrive at different entries, none of which sees three losses.
+TEST(HarmfulRequests, MergesLossesOfSeveralEntries) {
   HarmfulRequests One;
   HarmfulRequests Other;
   lose(One, Harmful, 2);
   lose(Other, Harmful, instance(5), Start + 2s);
-  const auto Told = One.toTell(Many, Start + 2s);
-  ASSERT_EQ(Told.size(), 1U);
-  EXPECT_TRUE(Other.hear(Told[0], Start + 2s));
-  EXPECT_FALSE(Other.hear(Told[0], Start + 2s));
+  const auto Updates = One.toTell(Many, Start + 2s);
+  ASSERT_EQ(Updates.size(), 1U);
+  EXPECT_TRUE(Other.hear(Updates[0], Start + 2s));
+  EXPECT_FALSE(Other.hear(Updates[0], Start + 2s));
   EXPECT_TRUE(Other.refusedUntil(Harmful, Start + 2s));
   EXPECT_EQ(Other.lossesOf(Harmful), 3U);
 }
 
-/// Ages grow by what each message takes: knowledge that goes round must not
-/// become newer by itself, and neither renew a refusal nor end one.
-TEST(HarmfulRequests, IsNotChangedByWhatGoesRound) {
+/// Each message shifts the times by its delay. Updates that circulate must not
+/// appear newer and so renew or end a refusal.
+TEST(HarmfulRequests, CirculatingUpdatesDoNotChangeRefusal) {
   HarmfulRequests One;
   HarmfulRequests Other;
   lose(One, Harmful, 1);
@@ -133,20 +133,20 @@
   TimePoint Now = Start + 67s;
   for (int I = 0; I < 300; ++I, Now += 300ms)
     for (auto [From, To] : {std::pair(&One, &Other), std::pair(&Other, &One)})
-      for (SuspectRequest Told : From->toTell(Many, Now)) {
-        for (InstanceLoss &Each : Told.m_Losses) {
+      for (SuspectRequest Updates : From->toTell(Many, Now)) {
+        for (InstanceLoss &Each : Updates.m_Losses) {
           Each.m_Sent += 50ms;
           Each.m_At += 50ms;
         }
-        To->hear(Told, Now);
+        To->hear(Updates, Now);
       }
   EXPECT_EQ(One.refusedUntil(Harmful, Now), Until);
   EXPECT_EQ(Other.lossesOf(Harmful), 3U);
 }
 
-/// A clearance reaches who knows of the losses only, and who hears of them
-/// later.
-TEST(HarmfulRequests, PassesAClearanceOn) {
+/// A clearance must reach an entry that knows only the losses, and must win
+/// over losses that arrive later.
+TEST(HarmfulRequests, PropagatesClearance) {
   HarmfulRequests One;
   HarmfulRequests Other;
   lose(One, Harmless, 2);
@@ -159,7 +159,7 @@
   EXPECT_EQ(One.lossesOf(Harmless), 0U);
 }
 
-TEST(HarmfulRequests, TellsOfChangesForAWhileAndOfRefusedOnesAlways) {
+TEST(HarmfulRequests, SendsRecentChangesAndAllRefusedRequests) {
   HarmfulRequests All;
   lose(All, Harmful, 3);
   lose(All, Harmless, instance(1), Start + 2s);
@@ -171,7 +171,7 @@
   EXPECT_EQ(All.toTell(1, Start + 3s)[0].m_Request, Harmful);
 }
 
-TEST(HarmfulRequests, IsBoundedAndKeepsWhatIsRefused) {
+TEST(HarmfulRequests, IsBoundedAndKeepsRefusedRequests) {
   HarmfulRequests All;
   lose(All, Harmful, 3);
   for (int I = 0; I < 10'000; ++I)
--- a/test/request-fingerprint-test.cc
+++ b/test/request-fingerprint-test.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-TEST(RequestFingerprint, IsTheSameWhereARequestComesAgain) {
+TEST(RequestFingerprint, IsEqualForRepeatedRequest) {
   const RequestParts Sent{"shops", "h.example", "POST", "/stream/1", "text"};
   EXPECT_EQ(fingerprintOf(Sent), fingerprintOf(Sent));
   RequestParts Other = Sent;
@@ -14,14 +14,14 @@
   EXPECT_NE(fingerprintOf(Sent), fingerprintOf(Other));
 }
 
-TEST(RequestFingerprint, TellsEachPartFromTheNext) {
+TEST(RequestFingerprint, DependsOnBoundariesOfParts) {
   EXPECT_NE(fingerprintOf({"a", "b", "POST", "/c", "d"}),
             fingerprintOf({"ab", "", "POST", "/c", "d"}));
   EXPECT_NE(fingerprintOf({"a", "b", "POST", "/c", "d"}),
             fingerprintOf({"a", "b", "POST", "/cd", ""}));
 }
 
-TEST(RequestFingerprint, IsShownAsDigits) {
+TEST(RequestFingerprint, FormatsAsHexDigits) {
   EXPECT_EQ(textOf({0x1f, 0xa0}), "000000000000001f00000000000000a0");
 }
 
--- a/test/retry-window-test.cc
+++ b/test/retry-window-test.cc
@@ -1,5 +1,5 @@
-// Retries of many entries at once, which start, end and lose sight of each
-// other, against the bound of them all.
+// Checks the common retry limit with many entries that start, stop and lose
+// contact with each other.
 #include "deckpitch/retry-window.h"
 
 #include <gtest/gtest.h>
@@ -17,7 +17,7 @@
 
 constexpr RetryShare All{.m_Share = 0.2, .m_Slack = 106, .m_Window = 10s};
 
-/// Entries under a steady load; each request is retried as often as it may be.
+/// Entries under a steady load; each request is retried as often as allowed.
 class Entries {
 public:
   Entries(std::size_t Count, std::uint64_t Seed)
@@ -34,12 +34,12 @@
     for (std::size_t I = 0; I < m_Windows.size(); ++I)
       restart(I);
   }
-  /// How many entries each one knows of; 0: none is told how many there are.
+  /// Sets how many entries one entry knows of; 0: unknown.
   void setKnown(std::size_t I, std::size_t Count) { m_Known[I] = Count; }
   std::size_t size() const { return m_Windows.size(); }
 
-  /// Requests come for so long, and then the most retries beyond the bound in
-  /// any window; none where that is not positive.
+  /// Runs the load for a time and records in excess() by how many retries any
+  /// window exceeded the limit.
   void run(Duration For, int RequestsPerTick, int MostRetries) {
     constexpr Duration Tick = 10ms;
     for (const TimePoint End = m_Now + For; m_Now < End; m_Now += Tick) {
@@ -81,9 +81,9 @@
 
 } // namespace
 
-// A budget that was full at each start let four restarts in a row pass the
-// bound.
-TEST(RetryWindow, RestartsInSeriesAddNoRetriesToWhatAllMaySend) {
+// A budget that is full at each start exceeds the limit after four restarts in
+// a row.
+TEST(RetryWindow, RepeatedRestartsDoNotExceedLimit) {
   for (const std::uint64_t Seed : {1, 2, 3}) {
     Entries Fleet(9, Seed);
     Fleet.run(12s, 2, 3);
@@ -97,9 +97,9 @@
   }
 }
 
-// Divided by what each heard of the others at first, the slack was spent many
-// times over.
-TEST(RetryWindow, EntriesThatDoNotKnowOfEachOtherUseNoSlack) {
+// Entries that divide the slack by the few peers they know shortly after a
+// start spend it many times over.
+TEST(RetryWindow, EntriesThatDoNotKnowEachOtherUseNoSlack) {
   Entries Fleet(34, 1);
   Fleet.restartAll();
   Fleet.run(25s, 2, 3);
@@ -107,8 +107,9 @@
   EXPECT_LE(Fleet.retriesInWindow(), 400U); // .2 of 2,000 requests.
 }
 
-// Those that have gone spent their part of the slack in the same window.
-TEST(RetryWindow, EntriesThatAreLeftTakeOverNoSlackThatWasSpentInTheWindow) {
+// Entries that have left may have spent their part of the slack in the same
+// window.
+TEST(RetryWindow, RemainingEntriesDoNotReuseSlackSpentInWindow) {
   for (const std::uint64_t Seed : {1, 2, 3}) {
     Entries Fleet(8, Seed);
     Fleet.run(15s, 0, 0);
@@ -122,16 +123,18 @@
   }
 }
 
-// A limit that cannot be used up would be no service to callers.
-TEST(RetryWindow, ASteadyFleetMayUseNearlyAllThatItMay) {
+// A limit that is enforced too strictly would fail requests that may be
+// retried.
+TEST(RetryWindow, SteadyFleetCanUseNearlyWholeLimit) {
   Entries Fleet(9, 1);
   Fleet.run(30s, 2, 3);
   EXPECT_LE(Fleet.excess(), 0);
-  EXPECT_GE(Fleet.excess(), -40); // Of 506: a part of a retry for each entry,
-                                  // and what the oldest step holds too long.
+  // Of 506 retries, each entry loses a fraction of one, and some wait until the
+  // oldest bucket expires.
+  EXPECT_GE(Fleet.excess(), -40);
 }
 
-TEST(RetryWindow, SlackOfAnIdleWindowIsThereAtOnceAndOnceOnly) {
+TEST(RetryWindow, SlackOfIdleWindowIsAvailableAtOnceAndOnlyOnce) {
   RetryWindow Own(All, TimePoint{});
   TimePoint Now{20s};
   Own.setEntries(2, Now);
@@ -146,7 +149,7 @@
   EXPECT_TRUE(Own.tryRetry(Now));
 }
 
-TEST(RetryWindow, TellsWhatItsDecisionRestsOn) {
+TEST(RetryWindow, ReportsInputsOfDecision) {
   RetryWindow Own(All, TimePoint{1s});
   const TimePoint Now{3s};
   Own.setEntries(2, Now);
