--- a/include/deckpitch/back-off.h
+++ b/include/deckpitch/back-off.h
@@ -1,4 +1,4 @@
-// How long to wait before the platform is asked again after failures.
+// Exponential back-off for repeated calls to the platform.
 #pragma once
 
 #include "deckpitch/time.h"
@@ -10,18 +10,19 @@
 namespace deckpitch {
 
 inline constexpr std::chrono::milliseconds FirstBackOff{250};
-inline constexpr std::chrono::milliseconds MostBackOff{15'000};
+inline constexpr std::chrono::milliseconds MaxBackOff{15'000};
 
-/// Doubles with each failure, up to a limit.
+/// The delay after a number of consecutive failures: doubles with each one, up
+/// to MaxBackOff.
 inline Duration backOff(unsigned Failures) {
-  constexpr unsigned MostDoublings = 6;
-  const Duration Long =
-      FirstBackOff * (1U << std::min(Failures, MostDoublings));
-  return std::min<Duration>(Long, MostBackOff);
+  constexpr unsigned MaxDoublings = 6;
+  const Duration Unlimited =
+      FirstBackOff * (1U << std::min(Failures, MaxDoublings));
+  return std::min<Duration>(Unlimited, MaxBackOff);
 }
 
-/// Between half and all of the value, so that those who failed together do not
-/// come back together.
+/// Returns a random duration between half and all of the value, so that callers
+/// that failed together do not retry together.
 template <std::uniform_random_bit_generator Source>
 Duration jittered(Duration Value, Source &Random) {
   std::uniform_real_distribution<double> Share(0.5, 1.0);
--- a/include/deckpitch/event-stream.h
+++ b/include/deckpitch/event-stream.h
@@ -1,4 +1,4 @@
-// Cuts a server-sent event stream into whole events.
+// Splits a server-sent event stream into complete events.
 #pragma once
 
 #include <cstdint>
@@ -9,14 +9,14 @@
 namespace deckpitch {
 
 struct StreamEvent {
-  std::string m_Bytes; ///< as they came, with the blank line that ends them
+  std::string m_Bytes; ///< as received, including the final blank line
   std::optional<std::uint64_t> m_Id;
 
   friend bool operator==(const StreamEvent &, const StreamEvent &) = default;
 };
 
-/// Keeps what has come of an event until its end, so that a stream that breaks
-/// in the middle of one can go on elsewhere with nothing torn.
+/// Buffers an event until it is complete, so that a stream that breaks in the
+/// middle of one can be resumed elsewhere without a partial event.
 ///
 ///   Splitter.add(Piece);
 ///   while (auto Event = Splitter.next()) ...
@@ -24,9 +24,9 @@
 public:
   void add(std::string_view Bytes) { m_Pending += Bytes; }
   std::optional<StreamEvent> next();
-  /// Some of an event has come, but not its end.
+  /// Whether part of an incomplete event is buffered.
   bool holdsPart() const { return !m_Pending.empty(); }
-  /// What has come of the event that did not end.
+  /// The buffered part of the incomplete event.
   const std::string &part() const { return m_Pending; }
   void clear() {
     m_Pending.clear();
@@ -35,7 +35,7 @@
 
 private:
   std::string m_Pending;
-  std::size_t m_Searched = 0; ///< bytes that hold no end of an event
+  std::size_t m_Searched = 0; ///< leading bytes without an end of an event
 };
 
 } // namespace deckpitch
--- a/include/deckpitch/route-index.h
+++ b/include/deckpitch/route-index.h
@@ -11,7 +11,7 @@
 
 namespace deckpitch {
 
-/// An index over one version of the declaration; immutable once built.
+/// An immutable index over one version of the declaration.
 ///
 ///   const RouteIndex Table(parseDeclaration(Json));
 ///   const ServiceRoute *Route = Table.find("shop.example", "/orders/7");
@@ -19,29 +19,29 @@
 public:
   explicit RouteIndex(FleetDeclaration Declaration = {});
 
-  /// The route of that host with the longest prefix that begins the path, or
-  /// null. The host may carry a port; its case does not matter.
+  /// Returns the host's route with the longest prefix of the path, or null. The
+  /// host may include a port and is compared without regard to case.
   const ServiceRoute *find(std::string_view Host, std::string_view Path) const;
-  /// Whose key it is, or null.
+  /// Returns the organisation that the key belongs to, or null.
   const OrganisationKeys *organisationOf(std::string_view Key) const;
   const ServiceDeclaration *service(const ServiceId &Id) const;
 
   const FleetDeclaration &declaration() const { return m_Declaration; }
-  /// Keys are asked for.
+  /// Whether callers need a key.
   bool hasOrganisations() const {
     return !m_Declaration.m_Organisations.empty();
   }
 
 private:
   FleetDeclaration m_Declaration;
-  /// By host, a line break, and prefix.
+  /// Keyed by host, a line break, and path prefix.
   std::unordered_map<std::string, std::size_t> m_Routes;
   std::unordered_map<std::string, std::size_t> m_Keys;
   std::unordered_map<std::string, std::size_t> m_Services;
 };
 
-/// The service that a request goes to: a share of the draws according to the
-/// weights. Draw is any number that is spread evenly. Null without services.
+/// Chooses the service for a request in proportion to the weights. Draw is a
+/// uniformly distributed random number. Null if the route has no services.
 const ServiceId *chooseService(const ServiceRoute &Route, std::uint64_t Draw);
 
 } // namespace deckpitch
--- a/include/deckpitch/routing.h
+++ b/include/deckpitch/routing.h
@@ -1,4 +1,4 @@
-// Where requests can go: the table made of declarations and membership.
+// The routing table, built from the declarations and the membership.
 #pragma once
 
 #include "deckpitch/declaration.h"
@@ -12,16 +12,16 @@
 
 namespace deckpitch {
 
-/// One instance that can take a pool's requests.
+/// An instance that can serve a pool's requests.
 struct UpstreamRoute {
   InstanceId m_Instance;
   Incarnation m_Incarnation;
   std::string m_Address;
   DataCentreId m_DataCentre;
-  WeightsId m_Weights; ///< that it serves now; empty for services
+  WeightsId m_Weights; ///< currently served; empty for services
   Digest m_Digest;
   LoadReport m_Load;
-  bool m_Suspect = false; ///< heartbeats are late: only when no other is left
+  bool m_Suspect = false; ///< heartbeats are late; used only as a last resort
 
   friend bool operator==(const UpstreamRoute &,
                          const UpstreamRoute &) = default;
@@ -34,7 +34,7 @@
   friend bool operator==(const PoolRoute &, const PoolRoute &) = default;
 };
 
-/// An entry that callers may use.
+/// An entry that accepts callers' requests.
 struct EntryRoute {
   InstanceId m_Instance;
   DataCentreId m_DataCentre;
@@ -43,7 +43,7 @@
   friend bool operator==(const EntryRoute &, const EntryRoute &) = default;
 };
 
-/// One immutable answer to every question about where to send a request.
+/// An immutable snapshot of all routes.
 struct RouteTable {
   std::map<PoolId, PoolRoute> m_Pools;
   std::map<std::string, PoolId> m_PoolByModel;
@@ -56,17 +56,17 @@
 RouteTable buildRoutes(const DeclarationSet &Declarations,
                        const MembershipView &Members);
 
-/// The engine pool of that name, or the one that serves that model; null when
-/// there is none.
+/// Returns the engine pool of that name, or else the one that serves the model
+/// of that name; null if there is none.
 const PoolRoute *findEnginePool(const RouteTable &Table,
                                 std::string_view Model);
-/// The service pool whose path prefix is the longest that matches; null when
+/// Returns the service pool with the longest path prefix that matches; null if
 /// none does.
 const PoolRoute *findServicePool(const RouteTable &Table,
                                  std::string_view Path);
 
-/// Entries in the order for one asker: each seed gives another order, and all
-/// entries come first equally often.
+/// Returns the entries' addresses in an order that depends on the seed, such
+/// that over all seeds each entry is first equally often.
 std::vector<std::string> orderEntries(const std::vector<EntryRoute> &Entries,
                                       std::uint64_t Seed);
 
--- a/include/deckpitch/size-shares.h
+++ b/include/deckpitch/size-shares.h
@@ -1,4 +1,4 @@
-// Which sizes of a route's requests go first when places are short.
+// Reserves slots for smaller requests of a route when slots are scarce.
 #pragma once
 
 #include <array>
@@ -7,29 +7,30 @@
 
 namespace deckpitch {
 
-/// Work grows with a request's size faster than what it is worth to its
-/// caller, so of two requests the smaller one does more good with the same
-/// engine time. Larger ones leave some places to smaller ones, but only until
-/// they are served noticeably less often than all: they have a share of their
-/// own.
+/// The cost of a request grows with its size faster than its value to the
+/// caller, so smaller requests make better use of the engine time. Larger
+/// requests therefore leave some slots free for smaller ones, unless they are
+/// already admitted noticeably less often than the average request.
 class SizeShares {
 public:
-  /// A request of that size came.
+  /// Counts a request of that size.
   void arrived(double Size);
-  /// One that came was given a place.
+  /// Counts an admitted request; arrived() must have counted it before.
   void admitted(double Size);
-  /// Places of an instance that a request of that size leaves free.
+  /// The number of an instance's slots that a request of that size must leave
+  /// free.
   double reserve(double Size) const;
 
 private:
-  /// Below seven tenths, the next two tenths, and the largest tenth.
+  /// The smallest seven tenths of the requests, the next two tenths, and the
+  /// largest tenth.
   static constexpr std::size_t Bands = 3;
-  static constexpr std::size_t Window = 128; ///< sizes that quantiles rest on
+  static constexpr std::size_t Window = 128; ///< sizes kept for the quantiles
 
   struct Band {
-    double m_Came = 0;
+    double m_Arrived = 0;
     double m_Admitted = 0;
-    double share() const { return m_Came > 0 ? m_Admitted / m_Came : 1; }
+    double share() const { return m_Arrived > 0 ? m_Admitted / m_Arrived : 1; }
   };
 
   std::size_t bandOf(double Size) const;
--- a/include/deckpitch/token-stream.h
+++ b/include/deckpitch/token-stream.h
@@ -1,4 +1,4 @@
-// Checks an engine's event stream against the request it must answer.
+// Verifies that an engine's event stream belongs to the request it answers.
 #pragma once
 
 #include "deckpitch/id.h"
@@ -9,7 +9,7 @@
 
 namespace deckpitch {
 
-/// What every event of one answer must carry.
+/// The values that every event of an answer must contain.
 struct StreamBinding {
   std::string m_RequestId;
   WeightsId m_Weights;
@@ -22,33 +22,34 @@
 
 enum class StreamFault {
   None,
-  Malformed,    ///< not the event format, or too large
+  Malformed,    ///< not in the event format, or too large
   OtherRequest, ///< an event of another request
   MixedWeights, ///< other weights or another digest
-  WrongIndex,   ///< a token doubled or missing
+  WrongIndex,   ///< a duplicate or missing token
 };
 
 std::string_view toText(StreamFault Value);
 
-/// What one piece of the stream gave: whole events that passed every check.
+/// The result of one piece of the stream: the complete events that passed every
+/// check.
 struct StreamStep {
-  std::string m_Events;  ///< as server-sent events, without the last one
-  std::string m_Content; ///< their text
+  std::string m_Events;  ///< as server-sent events, without "[DONE]"
+  std::string m_Content; ///< the text of these events
   StreamFault m_Fault = StreamFault::None;
 };
 
-/// Takes the bytes of server-sent events as they come, and lets through only
-/// whole events that belong to the bound answer, in order.
+/// Checks server-sent events as their bytes arrive, and passes on only complete
+/// events that match the binding and are in order.
 ///
 ///   StreamStep Step = Checker.feed(Piece);
-///   pass on Step.m_Events; break on Step.m_Fault; end on Checker.finished()
+///   // Forward Step.m_Events; stop at Step.m_Fault or Checker.finished().
 class TokenStreamChecker {
 public:
   explicit TokenStreamChecker(StreamBinding Bound);
 
   StreamStep feed(std::string_view Piece);
   std::uint64_t nextIndex() const { return m_NextIndex; }
-  /// The last event ("[DONE]") has come.
+  /// Whether the last event ("[DONE]") has been received.
   bool finished() const { return m_Finished; }
 
 private:
--- a/src/kernel/event-stream.cc
+++ b/src/kernel/event-stream.cc
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// The number in an event's "id:" line.
+/// Returns the number in an event's "id:" line.
 std::optional<std::uint64_t> idOf(std::string_view Event) {
   constexpr std::string_view Field = "id:";
   while (!Event.empty()) {
--- a/src/kernel/route-index.cc
+++ b/src/kernel/route-index.cc
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr char Separator = '\n'; ///< cannot stand in a host
+constexpr char Separator = '\n'; ///< cannot occur in a host
 
 std::string hostOf(std::string_view Header) {
   const bool IsBracketed = Header.starts_with('[');
@@ -40,12 +40,13 @@
 const ServiceRoute *RouteIndex::find(std::string_view Host,
                                      std::string_view Path) const {
   std::string Key = hostOf(Host) + Separator;
-  const std::size_t Stem = Key.size();
+  const std::size_t PathBegin = Key.size();
   Key += Path;
-  // Prefixes end with a slash, so only those cuts of the path can be one.
+  // Prefixes end with a slash, so only the parts of the path up to a slash can
+  // match.
   while (true) {
     const std::size_t Slash = Key.rfind('/');
-    if (Slash == std::string::npos || Slash < Stem)
+    if (Slash == std::string::npos || Slash < PathBegin)
       return nullptr;
     Key.resize(Slash + 1);
     const auto Found = m_Routes.find(Key);
--- a/src/kernel/routing.cc
+++ b/src/kernel/routing.cc
@@ -8,7 +8,7 @@
 
 namespace {
 
-bool takesRequests(const Member &Value) {
+bool acceptsRequests(const Member &Value) {
   return Value.m_State == MemberState::Alive ||
          Value.m_State == MemberState::Suspect;
 }
@@ -25,7 +25,7 @@
 }
 
 void addMember(RouteTable &Table, const Member &Value) {
-  if (!takesRequests(Value) || Value.m_Addresses.m_Requests.empty())
+  if (!acceptsRequests(Value) || Value.m_Addresses.m_Requests.empty())
     return;
   if (Value.m_Role == Role::Entry) {
     if (Value.m_State == MemberState::Alive)
@@ -38,7 +38,7 @@
     Found->second.m_Upstreams.push_back(routeTo(Value));
 }
 
-bool pathBelongsTo(std::string_view Path, std::string_view Prefix) {
+bool matchesPathPrefix(std::string_view Path, std::string_view Prefix) {
   if (Prefix.empty() || !Path.starts_with(Prefix))
     return false;
   return Prefix.back() == '/' || Path.size() == Prefix.size() ||
@@ -81,7 +81,7 @@
   const PoolRoute *Best = nullptr;
   for (const auto &[Name, Each] : Table.m_Pools) {
     if (Each.m_Pool.m_Kind != PoolKind::Service ||
-        !pathBelongsTo(Path, Each.m_Pool.m_Path))
+        !matchesPathPrefix(Path, Each.m_Pool.m_Path))
       continue;
     if (!Best || Each.m_Pool.m_Path.size() > Best->m_Pool.m_Path.size())
       Best = &Each;
--- a/src/kernel/size-shares.cc
+++ b/src/kernel/size-shares.cc
@@ -7,23 +7,24 @@
 namespace {
 
 constexpr std::array<double, 2> Quantiles{0.7, 0.9};
-/// Requests after which a count has lost two thirds: some ten seconds of a
-/// route's requests at one entry.
-constexpr double Memory = 100;
+/// Number of requests after which a count has decayed by two thirds: about ten
+/// seconds of a route's requests at one entry.
+constexpr double DecayRequests = 100;
 constexpr std::size_t UpdateEvery = 16;
-/// Sizes before any is put behind.
-constexpr std::size_t LeastKnown = 32;
-/// Places left free by the bands; about what ends at an engine in the time
-/// within which a first token is wanted.
+/// Number of sizes needed before any request must leave slots free.
+constexpr std::size_t MinSizes = 32;
+/// Slots that each band leaves free; about the number of requests that an
+/// engine completes within the desired time to the first token.
 constexpr std::array<double, 3> Reserves{0, 3, 5};
-/// A band is put behind only while it is served more often than this share of
-/// all: half as often is what operators bear at the least.
-constexpr double FloorShare = 0.72;
+/// A band leaves slots free only while its admission rate is at least this
+/// share of the overall rate. Operators accept no less than half the overall
+/// rate.
+constexpr double MinRelativeShare = 0.72;
 
 } // namespace
 
 std::size_t SizeShares::bandOf(double Size) const {
-  if (m_Sizes.size() < LeastKnown)
+  if (m_Sizes.size() < MinSizes)
     return 0;
   return static_cast<std::size_t>(
       std::count_if(m_Bounds.begin(), m_Bounds.end(),
@@ -34,8 +35,9 @@
   std::vector<double> Sorted = m_Sizes;
   std::sort(Sorted.begin(), Sorted.end());
   for (std::size_t I = 0; I < m_Bounds.size(); ++I) {
-    const double Place = Quantiles[I] * static_cast<double>(Sorted.size() - 1);
-    m_Bounds[I] = Sorted[static_cast<std::size_t>(Place)];
+    const double Position =
+        Quantiles[I] * static_cast<double>(Sorted.size() - 1);
+    m_Bounds[I] = Sorted[static_cast<std::size_t>(Position)];
   }
   m_SinceUpdate = 0;
 }
@@ -48,15 +50,15 @@
   m_Next = (m_Next + 1) % Window;
   if (++m_SinceUpdate >= UpdateEvery)
     updateBounds();
-  constexpr double Kept = 1 - 1 / Memory;
+  constexpr double DecayFactor = 1 - 1 / DecayRequests;
   const auto Age = [](Band &Each) {
-    Each.m_Came *= Kept;
-    Each.m_Admitted *= Kept;
+    Each.m_Arrived *= DecayFactor;
+    Each.m_Admitted *= DecayFactor;
   };
   std::for_each(m_Bands.begin(), m_Bands.end(), Age);
   Age(m_All);
-  m_Bands[bandOf(Size)].m_Came += 1;
-  m_All.m_Came += 1;
+  m_Bands[bandOf(Size)].m_Arrived += 1;
+  m_All.m_Arrived += 1;
 }
 
 void SizeShares::admitted(double Size) {
@@ -66,8 +68,9 @@
 
 double SizeShares::reserve(double Size) const {
   const std::size_t Which = bandOf(Size);
-  const bool IsBehind = m_Bands[Which].share() < FloorShare * m_All.share();
-  return IsBehind ? 0 : Reserves[Which];
+  const bool IsBelowMinimum =
+      m_Bands[Which].share() < MinRelativeShare * m_All.share();
+  return IsBelowMinimum ? 0 : Reserves[Which];
 }
 
 } // namespace deckpitch
--- a/src/kernel/token-event.cc
+++ b/src/kernel/token-event.cc
@@ -14,18 +14,18 @@
 constexpr std::size_t MaxDepth = 32;
 constexpr double LargestExactDouble = 9007199254740992.0;
 
-/// Where in the event the parser stands.
-enum class Place { Event, Choices, FirstChoice, Delta, Other };
+/// The part of the event that the parser is in.
+enum class ParserPosition { Event, Choices, FirstChoice, Delta, Other };
 
 /// The key that the next value belongs to.
 enum class Field { None, Id, Weights, Digest, Index, Choices, Delta, Content };
 
-Field fieldOf(Place At, std::string_view Key) {
-  if (At == Place::Delta)
+Field fieldOf(ParserPosition At, std::string_view Key) {
+  if (At == ParserPosition::Delta)
     return Key == "content" ? Field::Content : Field::None;
-  if (At == Place::FirstChoice)
+  if (At == ParserPosition::FirstChoice)
     return Key == "delta" ? Field::Delta : Field::None;
-  if (At != Place::Event)
+  if (At != ParserPosition::Event)
     return Field::None;
   if (Key == "id")
     return Field::Id;
@@ -40,7 +40,7 @@
 
 // NOLINTBEGIN(readability-identifier-naming): the names are Boost.JSON's.
 
-/// Takes the parser's events.
+/// Handles the parser's callbacks and fills in a TokenEvent.
 class EventHandler {
 public:
   static constexpr std::size_t max_object_size = SIZE_MAX;
@@ -56,7 +56,7 @@
   bool on_document_begin(error_code &) { return true; }
   bool on_document_end(error_code &) { return true; }
   bool on_object_begin(error_code &) {
-    enter(placeOfObject());
+    enter(positionOfObject());
     return true;
   }
   bool on_object_end(std::size_t, error_code &) {
@@ -64,11 +64,12 @@
     return true;
   }
   bool on_array_begin(error_code &) {
-    const bool IsChoices = at(Place::Event) && m_Field == Field::Choices;
+    const bool IsChoices =
+        at(ParserPosition::Event) && m_Field == Field::Choices;
     countChoice();
     if (IsChoices)
       m_Choices = 0;
-    enter(IsChoices ? Place::Choices : Place::Other);
+    enter(IsChoices ? ParserPosition::Choices : ParserPosition::Other);
     return true;
   }
   bool on_array_end(std::size_t, error_code &) {
@@ -80,9 +81,9 @@
     return true;
   }
   bool on_key(string_view Last, std::size_t, error_code &) {
-    m_Field = fieldOf(m_Places[m_Depth - 1], whole(Last));
+    m_Field = fieldOf(m_Positions[m_Depth - 1], joinParts(Last));
     m_Parts.clear();
-    forget(m_Field);
+    resetField(m_Field);
     return true;
   }
   bool on_string_part(string_view Part, std::size_t, error_code &) {
@@ -91,26 +92,26 @@
   }
   bool on_string(string_view Last, std::size_t, error_code &) {
     countChoice();
-    takeText(whole(Last));
+    readText(joinParts(Last));
     m_Parts.clear();
     return true;
   }
   bool on_number_part(string_view, error_code &) { return true; }
   bool on_int64(std::int64_t Value, string_view, error_code &) {
     if (Value >= 0)
-      takeNumber(static_cast<std::uint64_t>(Value));
+      readNumber(static_cast<std::uint64_t>(Value));
     countChoice();
     return true;
   }
   bool on_uint64(std::uint64_t Value, string_view, error_code &) {
-    takeNumber(Value);
+    readNumber(Value);
     countChoice();
     return true;
   }
   bool on_double(double Value, string_view, error_code &) {
     if (Value >= 0 && Value <= LargestExactDouble &&
         Value == static_cast<double>(static_cast<std::uint64_t>(Value)))
-      takeNumber(static_cast<std::uint64_t>(Value));
+      readNumber(static_cast<std::uint64_t>(Value));
     countChoice();
     return true;
   }
@@ -128,67 +129,69 @@
   // NOLINTEND(readability-identifier-naming)
 
 private:
-  bool at(Place Wanted) const {
-    return m_Depth > 0 && m_Places[m_Depth - 1] == Wanted;
+  bool at(ParserPosition Wanted) const {
+    return m_Depth > 0 && m_Positions[m_Depth - 1] == Wanted;
   }
-  void enter(Place Next) {
-    m_IsObject = m_IsObject || Next == Place::Event;
-    m_Places[m_Depth++] = Next;
+  void enter(ParserPosition Next) {
+    m_IsObject = m_IsObject || Next == ParserPosition::Event;
+    m_Positions[m_Depth++] = Next;
     m_Field = Field::None;
   }
-  Place placeOfObject() {
+  ParserPosition positionOfObject() {
     if (m_Depth == 0)
-      return Place::Event;
-    if (at(Place::Choices))
-      return m_Choices++ == 0 ? Place::FirstChoice : Place::Other;
-    const bool IsDelta = at(Place::FirstChoice) && m_Field == Field::Delta;
-    return IsDelta ? Place::Delta : Place::Other;
-  }
-  void countChoice() { m_Choices += at(Place::Choices) ? 1 : 0; }
-  std::string_view whole(string_view Last) {
+      return ParserPosition::Event;
+    if (at(ParserPosition::Choices))
+      return m_Choices++ == 0 ? ParserPosition::FirstChoice
+                              : ParserPosition::Other;
+    const bool IsDelta =
+        at(ParserPosition::FirstChoice) && m_Field == Field::Delta;
+    return IsDelta ? ParserPosition::Delta : ParserPosition::Other;
+  }
+  void countChoice() { m_Choices += at(ParserPosition::Choices) ? 1 : 0; }
+  std::string_view joinParts(string_view Last) {
     if (m_Parts.empty())
       return Last;
     m_Parts += Last;
     return m_Parts;
   }
 
-  void forget(Field Again) {
-    if (Again == Field::Id)
-      m_Event.m_IdFits = false;
-    else if (Again == Field::Weights)
-      m_Event.m_WeightsFit = false;
-    else if (Again == Field::Digest)
-      m_Event.m_DigestFits = false;
-    else if (Again == Field::Index)
+  void resetField(Field Repeated) {
+    if (Repeated == Field::Id)
+      m_Event.m_IdMatches = false;
+    else if (Repeated == Field::Weights)
+      m_Event.m_WeightsMatch = false;
+    else if (Repeated == Field::Digest)
+      m_Event.m_DigestMatches = false;
+    else if (Repeated == Field::Index)
       m_Event.m_Index.reset();
-    else if (Again != Field::None)
+    else if (Repeated != Field::None)
       m_Event.m_Content.clear();
   }
-  void takeText(std::string_view Text) {
-    if (at(Place::Delta) && m_Field == Field::Content)
+  void readText(std::string_view Text) {
+    if (at(ParserPosition::Delta) && m_Field == Field::Content)
       m_Event.m_Content = Text;
-    if (!at(Place::Event))
+    if (!at(ParserPosition::Event))
       return;
     if (m_Field == Field::Id)
-      m_Event.m_IdFits = Text == m_Expected.m_Id;
+      m_Event.m_IdMatches = Text == m_Expected.m_Id;
     else if (m_Field == Field::Weights)
-      m_Event.m_WeightsFit = Text == m_Expected.m_Weights;
+      m_Event.m_WeightsMatch = Text == m_Expected.m_Weights;
     else if (m_Field == Field::Digest)
-      m_Event.m_DigestFits = Text == m_Expected.m_Digest;
+      m_Event.m_DigestMatches = Text == m_Expected.m_Digest;
   }
-  void takeNumber(std::uint64_t Value) {
-    if (at(Place::Event) && m_Field == Field::Index)
+  void readNumber(std::uint64_t Value) {
+    if (at(ParserPosition::Event) && m_Field == Field::Index)
       m_Event.m_Index = Value;
   }
 
   ExpectedEvent m_Expected;
   TokenEvent m_Event;
-  std::array<Place, MaxDepth + 1> m_Places{};
+  std::array<ParserPosition, MaxDepth + 1> m_Positions{};
   std::size_t m_Depth = 0;
   Field m_Field = Field::None;
   std::size_t m_Choices = 0;
   bool m_IsObject = false;
-  std::string m_Parts; ///< of a key or string that comes in several
+  std::string m_Parts; ///< of a key or string that arrives in several parts
 };
 
 } // namespace
--- a/src/kernel/token-event.h
+++ b/src/kernel/token-event.h
@@ -1,4 +1,4 @@
-// Reads the fields that are checked of one streamed event.
+// Parses the fields of a streamed event that TokenStreamChecker checks.
 #pragma once
 
 #include <cstdint>
@@ -8,24 +8,24 @@
 
 namespace deckpitch {
 
-/// What every event of an answer must say.
+/// The values that every event of an answer must contain.
 struct ExpectedEvent {
   std::string_view m_Id;
   std::string_view m_Weights;
   std::string_view m_Digest;
 };
 
-/// What an event says. Of a key that stands twice the last one counts.
+/// The checked fields of an event. Of duplicate keys the last one counts.
 struct TokenEvent {
-  bool m_IdFits = false;
-  bool m_WeightsFit = false;
-  bool m_DigestFits = false;
+  bool m_IdMatches = false;
+  bool m_WeightsMatch = false;
+  bool m_DigestMatches = false;
   std::optional<std::uint64_t> m_Index;
   std::string m_Content; ///< choices[0].delta.content
 };
 
-/// None when the text is not one JSON object. Makes no document, since an
-/// entry reads each token's.
+/// Parses an event; nullopt if the text is not exactly one JSON object. Builds
+/// no JSON document, since an entry parses one event per token.
 std::optional<TokenEvent> readTokenEvent(std::string_view Json,
                                          const ExpectedEvent &Expected);
 
--- a/src/kernel/token-stream.cc
+++ b/src/kernel/token-stream.cc
@@ -80,9 +80,9 @@
                             .m_Digest = m_Bound.m_Digest});
   if (!Event)
     return StreamFault::Malformed;
-  if (!Event->m_IdFits)
+  if (!Event->m_IdMatches)
     return StreamFault::OtherRequest;
-  if (!Event->m_WeightsFit || !Event->m_DigestFits)
+  if (!Event->m_WeightsMatch || !Event->m_DigestMatches)
     return StreamFault::MixedWeights;
   if (Event->m_Index != m_NextIndex)
     return StreamFault::WrongIndex;
--- a/test/back-off-test.cc
+++ b/test/back-off-test.cc
@@ -20,8 +20,8 @@
   std::map<long, unsigned> m_After; ///< by second after the end
 };
 
-/// Entries that all started at once in an outage of ten minutes, each asking
-/// until it is answered.
+/// Simulates entries that all start at the beginning of a ten-minute outage and
+/// call until the first success.
 Calls outage(unsigned Seed) {
   Calls Out;
   std::mt19937_64 Random(Seed);
@@ -38,10 +38,10 @@
   return Out;
 }
 
-TEST(BackOff, TenMinutesOfOutageEndWithoutAHerd) {
+TEST(BackOff, TenMinuteOutageEndsWithoutThunderingHerd) {
   for (unsigned Seed = 1; Seed <= 20; ++Seed) {
     const Calls Made = outage(Seed);
-    // At most one call in half the longest wait, and the first few.
+    // At most one call per half of the maximum delay, plus the first few.
     EXPECT_LE(Made.m_During, Entries * (600 / 7 + 8)) << Seed;
     for (const auto &[Second, Count] : Made.m_After) {
       EXPECT_LE(Count, Entries / 4) << Seed << " in second " << Second;
@@ -50,7 +50,7 @@
   }
 }
 
-TEST(BackOff, GrowsToItsLimitAndStaysThere) {
+TEST(BackOff, GrowsUpToLimit) {
   EXPECT_EQ(backOff(0), 250ms);
   EXPECT_EQ(backOff(1), 500ms);
   EXPECT_EQ(backOff(6), 15s);
--- a/test/event-stream-test.cc
+++ b/test/event-stream-test.cc
@@ -22,7 +22,7 @@
 const std::string Two =
     "id: 7\ndata: a\n\nweight: 2\r\nid:8\r\ndata: b\r\n\r\n";
 
-TEST(EventStream, CutsWholeEventsWhereverTheBytesAreCut) {
+TEST(EventStream, SplitsEventsRegardlessOfPieceSize) {
   for (std::size_t Step = 1; Step <= Two.size(); ++Step) {
     const std::vector<StreamEvent> Events = cut(Two, Step);
     ASSERT_EQ(Events.size(), 2U) << "step " << Step;
@@ -32,7 +32,7 @@
   }
 }
 
-TEST(EventStream, KeepsAnEventThatDidNotEnd) {
+TEST(EventStream, BuffersIncompleteEvent) {
   EventStreamSplitter Splitter;
   Splitter.add("id: 1\n\nid: 2\ndata: x");
   EXPECT_EQ(Splitter.next()->m_Id, 1U);
@@ -43,7 +43,7 @@
   EXPECT_FALSE(Splitter.holdsPart());
 }
 
-TEST(EventStream, AnEventWithoutANumberHasNoId) {
+TEST(EventStream, EventWithoutNumericIdHasNoId) {
   EXPECT_EQ(cut("id: x\n\n", 3).front().m_Id, std::nullopt);
   EXPECT_EQ(cut("data: id: 4\n\n", 3).front().m_Id, std::nullopt);
 }
--- a/test/route-index-test.cc
+++ b/test/route-index-test.cc
@@ -32,7 +32,7 @@
   return Found ? Found->m_Name : "none";
 }
 
-TEST(RouteIndex, TakesTheLongestPrefixOfTheHost) {
+TEST(RouteIndex, FindsLongestPrefixOfHost) {
   const RouteIndex Table =
       tableOf({route("all", "a.example", "/"), route("x", "a.example", "/x/"),
                route("deep", "a.example", "/x/y/"),
@@ -44,7 +44,7 @@
   EXPECT_EQ(nameOf(Table, "b.example", "/x/y/z"), "other");
 }
 
-TEST(RouteIndex, FindsNothingWhereNothingFits) {
+TEST(RouteIndex, FindsNothingWithoutMatch) {
   const RouteIndex Table = tableOf({route("x", "a.example", "/x/")});
   EXPECT_EQ(nameOf(Table, "a.example", "/"), "none");
   EXPECT_EQ(nameOf(Table, "a.example", ""), "none");
@@ -53,12 +53,12 @@
   EXPECT_EQ(nameOf(Table, "a.example\n/x/", ""), "none");
 }
 
-TEST(RouteIndex, IgnoresTheHostsCaseAndPort) {
+TEST(RouteIndex, IgnoresCaseAndPortOfHost) {
   const RouteIndex Table = tableOf({route("x", "a.example", "/x/")});
   EXPECT_EQ(nameOf(Table, "A.Example:8080", "/x/1"), "x");
 }
 
-TEST(RouteIndex, KnowsWhoseKeyItIs) {
+TEST(RouteIndex, FindsOrganisationByKey) {
   const RouteIndex Table = tableOf({});
   EXPECT_EQ(Table.organisationOf("key-2")->m_Organisation.m_Text, "shops");
   EXPECT_EQ(Table.organisationOf("key-3")->m_Organisation.m_Text, "riders");
@@ -66,7 +66,7 @@
   EXPECT_EQ(Table.organisationOf(""), nullptr);
 }
 
-TEST(RouteIndex, SharesDrawsByWeight) {
+TEST(RouteIndex, ChoosesServicesByWeight) {
   ServiceRoute Split;
   Split.m_Services = {{ServiceId{"a"}, 90}, {ServiceId{"b"}, 10}};
   int ToB = 0;
--- a/test/token-stream-test.cc
+++ b/test/token-stream-test.cc
@@ -19,7 +19,7 @@
 
 void PrintTo(const EventCase &Case, std::ostream *Out) { *Out << Case.m_Name; }
 
-/// A whole event whose choices are the given JSON.
+/// A complete event with the given JSON as its choices.
 std::string withChoices(const std::string &Choices) {
   return R"({"id":"r-1","weights":"m@1","digest":"abcd","index":0,"choices":)" +
          Choices + "}";
@@ -27,8 +27,8 @@
 
 class TokenStreamEvents : public testing::TestWithParam<EventCase> {};
 
-// However the bytes are cut, the verdict and the content are the same.
-TEST_P(TokenStreamEvents, AreJudgedHoweverTheyAreCut) {
+// The result must not depend on how the bytes of an event are split.
+TEST_P(TokenStreamEvents, AreCheckedRegardlessOfSplit) {
   const std::string Event = "data: " + GetParam().m_Data + "\n\n";
   for (std::size_t Cut = 0; Cut <= Event.size(); ++Cut) {
     TokenStreamChecker Checker(bound());
@@ -135,7 +135,7 @@
          std::to_string(Index) + "}\n\n";
 }
 
-TEST(TokenStreamChecker, TakesSeveralEventsAndHalvesAtOnce) {
+TEST(TokenStreamChecker, AcceptsSeveralAndPartialEventsAtOnce) {
   TokenStreamChecker Checker(bound());
   const std::string All = eventAt(0) + eventAt(1) + eventAt(2);
   const std::size_t Cut = All.size() - 5;
@@ -149,7 +149,7 @@
   EXPECT_EQ(Checker.feed(eventAt(3)).m_Fault, StreamFault::Malformed);
 }
 
-TEST(TokenStreamChecker, PassesOnWhatCameBeforeAFault) {
+TEST(TokenStreamChecker, PassesOnEventsBeforeFault) {
   TokenStreamChecker Checker(bound());
   const StreamStep Step =
       Checker.feed(eventAt(0) + eventAt(1) + eventAt(1) + eventAt(2));
@@ -157,7 +157,7 @@
   EXPECT_EQ(Step.m_Fault, StreamFault::WrongIndex);
 }
 
-TEST(TokenStreamChecker, BoundsAnEventThatDoesNotEnd) {
+TEST(TokenStreamChecker, LimitsSizeOfUnterminatedEvent) {
   TokenStreamChecker Checker(bound());
   StreamFault Fault = StreamFault::None;
   for (int I = 0; I < 100 && Fault == StreamFault::None; ++I)
