--- a/include/deckpitch/applied-history.h
+++ b/include/deckpitch/applied-history.h
@@ -1,4 +1,5 @@
-// What one process applied in its life, in order, for checks and for operators.
+// The declaration changes that a process has applied since its start, for
+// checks and for operators.
 #pragma once
 
 #include "deckpitch/declaration.h"
@@ -12,35 +13,36 @@
 
 namespace deckpitch {
 
-/// One object's switch to another revision, or its deletion.
+/// The change of one object to another revision, or its deletion.
 struct AppliedChange {
-  std::uint64_t m_Order = 0; ///< counts from 1 in each life
-  Duration m_At{};           ///< by the monotonic clock, since the life began
+  std::uint64_t m_Order = 0; ///< counts from 1 in each incarnation
+  Duration m_At{};           ///< time since the process started
   std::string m_Object;      ///< "kind/name"
   Revision m_Revision;       ///< 0: deleted
-  Revision m_Complete;       ///< of the snapshot that brought it
+  Revision m_Complete;       ///< of the snapshot that contained the change
 
   friend bool operator==(const AppliedChange &,
                          const AppliedChange &) = default;
 };
 
-/// Compares each published snapshot with the one before; it does not rest on
-/// the rules that let objects into the snapshot.
+/// Records changes by comparing each published snapshot with the previous one.
+/// It is independent of the rules by which objects enter the snapshot, so it
+/// also shows violations of them.
 class AppliedHistory {
 public:
-  explicit AppliedHistory(std::size_t Most) : m_Most(Most) {}
+  explicit AppliedHistory(std::size_t MaxChanges) : m_MaxChanges(MaxChanges) {}
 
   void note(Duration At, const DeclarationSet &Published);
-  /// The newest changes, the oldest of them first.
+  /// The most recent changes, oldest first.
   const std::deque<AppliedChange> &changes() const { return m_Changes; }
-  /// All changes ever; more than changes() holds when old ones were dropped.
+  /// The number of all changes, including those dropped from changes().
   std::uint64_t total() const { return m_Total; }
 
 private:
   void add(Duration At, const std::string &Object, Revision To,
            Revision Complete);
 
-  std::size_t m_Most;
+  std::size_t m_MaxChanges;
   std::uint64_t m_Total = 0;
   std::map<std::string, Revision> m_InForce;
   std::deque<AppliedChange> m_Changes;
--- a/include/deckpitch/declaration-store.h
+++ b/include/deckpitch/declaration-store.h
@@ -1,4 +1,4 @@
-// One process's replica of the declarations: only newer versions get in.
+// A process's replica of the declarations, which accepts only newer versions.
 #pragma once
 
 #include "deckpitch/declaration.h"
@@ -13,14 +13,14 @@
 
 namespace deckpitch {
 
-/// The kinds that every process replicates.
+/// The kinds of objects that every process replicates.
 inline constexpr std::string_view PoolsKind = "pools";
 inline constexpr std::string_view OrganisationsKind = "organisations";
 inline constexpr std::string_view UpstreamsKind = "upstreams";
 inline constexpr std::string_view AssignmentsKind = "assignments";
 const std::vector<std::string> &replicatedKinds();
 
-/// One version of one object; a deletion is a version too.
+/// Entry version of one object; a deletion is a version too.
 struct DeclaredObject {
   std::string m_Kind;
   std::string m_Name;
@@ -32,62 +32,63 @@
                          const DeclaredObject &) = default;
 };
 
-/// What one replica tells another: every object newer than m_Since that the
-/// sender has. The sender is complete up to m_Revision.
+/// An update from one replica to another: all objects of the sender that are
+/// newer than m_Since. The sender is complete up to m_Revision.
 struct DeclarationUpdate {
   Revision m_Since;
   Revision m_Revision;
-  bool m_Whole = false;       ///< objects not named here do not exist
-  std::uint64_t m_Digest = 0; ///< of all objects that the sender has
+  bool m_Whole = false;       ///< objects not included here do not exist
+  std::uint64_t m_Digest = 0; ///< over all objects of the sender
   std::vector<DeclaredObject> m_Objects;
 
   friend bool operator==(const DeclarationUpdate &,
                          const DeclarationUpdate &) = default;
 };
 
-/// Objects by kind and name, each at the newest revision that was ever seen.
-/// No input in any order or number takes an object back to an older version.
+/// Stores each object, by kind and name, at the newest revision ever received.
+/// No order or repetition of inputs reverts an object to an older version.
 class DeclarationStore {
 public:
-  /// What an input did.
+  /// The effect of an input.
   enum class Effect {
     None,    ///< nothing new
-    Changed, ///< the snapshot is another one
-    Gap,     ///< refused: changes in between are missing, so request them
+    Changed, ///< the snapshot has changed
+    Gap,     ///< refused, since preceding changes are missing: request them
   };
 
-  /// A list that the platform answered: the whole kind as of a revision. This
-  /// alone makes a kind complete; objects that are missing were deleted.
+  /// Applies a list from the platform: all objects of a kind as of a revision.
+  /// Of the platform's inputs only this completes a kind; missing objects have
+  /// been deleted.
   Effect applyList(const std::string &Kind, Revision AsOf,
                    const std::vector<DeclaredObject> &Items);
-  /// An event of a watch. It may be repeated, out of order or the last one
-  /// before some that were dropped, so it says nothing of completeness.
+  /// Applies a watch event. Events may be repeated, reordered or dropped, so
+  /// they do not make a kind complete.
   Effect applyEvent(const DeclaredObject &Object);
-  /// What another replica sent.
+  /// Applies an update from another replica.
   Effect applyUpdate(const DeclarationUpdate &Update);
 
-  /// All that a replica complete up to Have may lack; whole when deletions
-  /// that old are forgotten here.
+  /// Returns all changes that a replica complete up to Have may lack, or
+  /// everything if deletions that old are no longer kept.
   DeclarationUpdate changesSince(Revision Have) const;
-  /// Tells that the sender is complete up to its revision; enough for a
+  /// Returns an update without objects, which advances the revision of a
   /// replica with the same digest.
   DeclarationUpdate completion() const;
-  /// Everything, for a replica that differs in spite of its revision.
+  /// Returns everything, for a replica that differs in spite of its revision.
   DeclarationUpdate whole() const;
 
-  /// All changes up to this revision are in.
+  /// The revision up to which the replica is complete.
   Revision revision() const;
-  /// The newest revision of any object; it may be past revision().
+  /// The newest revision of any object; may exceed revision().
   Revision newest() const { return m_Newest; }
-  /// Equal at replicas that hold the same versions of the same objects.
+  /// Digest of all objects; equal on replicas with the same object versions.
   std::uint64_t digest() const { return m_Digest; }
-  /// False until anything was learnt from the platform or from a peer.
+  /// Whether every kind has been received from the platform or from a peer.
   bool filled() const { return m_Complete.size() >= replicatedKinds().size(); }
   const DeclaredObject *find(const std::string &Kind,
                              const std::string &Name) const;
   std::vector<DeclaredObject> list(const std::string &Kind) const;
-  /// Objects whose newest version this release cannot read; the version
-  /// before stays in force.
+  /// The number of versions that this release could not parse; the previous
+  /// version of the object stays in force.
   std::size_t unreadable() const { return m_Unreadable; }
 
   const DeclarationSet &snapshot() const { return m_Snapshot; }
@@ -99,17 +100,17 @@
     friend auto operator<=>(const Key &, const Key &) = default;
   };
 
-  bool accept(const DeclaredObject &Object);
+  bool acceptIfNewer(const DeclaredObject &Object);
   bool applyWhole(const DeclarationUpdate &Update);
   bool deleteMissing(const std::string &Kind, Revision AsOf,
                      const std::vector<DeclaredObject> &Items);
-  void switchParsed(const DeclaredObject &Object);
+  void updateSnapshot(const DeclaredObject &Object);
   void advance(const std::string &Kind, Revision To);
-  void forgetOldDeletions();
+  void dropOldDeletions();
 
   std::map<Key, DeclaredObject> m_Objects;
   std::map<std::string, Revision> m_Complete;
-  Revision m_ForgottenUpTo; ///< deletions up to here may be forgotten
+  Revision m_DroppedUpTo; ///< deletions up to here may be dropped
   std::uint64_t m_Digest = 0;
   Revision m_Newest;
   std::size_t m_Unreadable = 0;
--- a/include/deckpitch/declaration.h
+++ b/include/deckpitch/declaration.h
@@ -1,4 +1,4 @@
-// Desired state: what operators declare, as immutable values.
+// The desired state that operators declare, as immutable values.
 #pragma once
 
 #include "deckpitch/error.h"
@@ -14,7 +14,7 @@
 
 enum class PoolKind { Engine, Service };
 
-/// What a rollout of the pool saves first.
+/// What a rollout of the pool minimises first.
 enum class Preference { Time, OriginBytes };
 
 struct DataCentreReadiness {
@@ -25,19 +25,21 @@
                           const DataCentreReadiness &) = default;
 };
 
-/// A pool and its limits are one object, so that they switch together.
+/// A pool. Its limits are part of the same object, so that all of it changes
+/// atomically.
 struct Pool {
   PoolId m_Id;
   PoolKind m_Kind = PoolKind::Engine;
   std::string m_Model; ///< engines only
   std::string m_Adapter;
   std::string m_Version;
-  std::string m_Path; ///< services only: prefix of the paths it answers
+  std::string m_Path; ///< services only: prefix of the paths it serves
   std::vector<DataCentreReadiness> m_Readiness;
   Preference m_Preference = Preference::OriginBytes;
-  bool m_Paused = false;              ///< holds a rollout where it is
-  std::uint32_t m_QueueLimit = 256;   ///< requests waiting at one entry
-  std::uint32_t m_MaxUnavailable = 1; ///< instances without capacity at once
+  bool m_Paused = false;            ///< suspends the rollout
+  std::uint32_t m_QueueLimit = 256; ///< requests waiting at one entry
+  std::uint32_t m_MaxUnavailable =
+      1; ///< instances unavailable at the same time
 
   friend bool operator==(const Pool &, const Pool &) = default;
 };
@@ -54,24 +56,24 @@
   friend bool operator==(const Organisation &, const Organisation &) = default;
 };
 
-/// Facts about a class of upstreams that only operators know.
+/// Properties of a class of upstreams that only operators know.
 struct Upstream {
-  std::string m_Name; ///< as instances name it in their settings
+  std::string m_Name; ///< as given in the instances' settings
   bool m_ChecksFencing = false;
 
   friend bool operator==(const Upstream &, const Upstream &) = default;
 };
 
-/// Who changed a declared object last, and when.
+/// The last change of a declared object.
 struct ChangeNote {
-  std::string m_By;         ///< as the operator's tool named them
+  std::string m_By;         ///< the author, as given by the operator's tool
   std::uint64_t m_AtMs = 0; ///< wall clock of the entry that accepted it
-  std::string m_Write;      ///< names the one write that made this version
+  std::string m_Write;      ///< id of the write that created this version
 
   friend bool operator==(const ChangeNote &, const ChangeNote &) = default;
 };
 
-/// One declared object with its place in the platform's history.
+/// A declared object with its revision.
 template <typename T> struct Declared {
   Revision m_Revision;
   T m_Value;
@@ -80,8 +82,8 @@
   friend bool operator==(const Declared &, const Declared &) = default;
 };
 
-/// The pool that an instance is to serve, and the weights it may activate
-/// now; those lag behind the pool's declared weights while a rollout is held.
+/// The pool that an instance must serve, and the weights that it may activate
+/// now. These lag behind the pool's declared weights while a rollout is paused.
 struct AssignedPool {
   PoolId m_Pool;
   WeightsId m_Weights;
@@ -89,17 +91,17 @@
   friend bool operator==(const AssignedPool &, const AssignedPool &) = default;
 };
 
-/// Which instance serves which pool. One object of the platform, written by
-/// conditional update only, so that its revision orders all decisions: the
-/// revision is the fencing number of the orders that follow from it.
+/// Maps instances to the pools that they serve. A single object of the platform
+/// that is written only by conditional update, so that its revision orders all
+/// decisions and is the fencing number of the resulting orders.
 struct Assignment {
   std::map<InstanceId, AssignedPool> m_Instances;
 
   friend bool operator==(const Assignment &, const Assignment &) = default;
 };
 
-/// All declarations in force at one process: one snapshot, never half of a
-/// change. Complete up to m_Revision.
+/// A consistent snapshot of all declarations in force at one process, complete
+/// up to m_Revision.
 struct DeclarationSet {
   Revision m_Revision;
   std::map<PoolId, Declared<Pool>> m_Pools;
@@ -111,8 +113,8 @@
                          const DeclarationSet &) = default;
 };
 
-/// Parse one declared object's JSON; every fault is found at once and loaded
-/// as Problems beside an InvalidInput Error.
+/// Parses the JSON of a declared object. Errors: InvalidInput, with all faults
+/// loaded as Problems.
 Result<Pool> parsePool(std::string_view Json,
                        UnknownKeys Unknown = UnknownKeys::Refuse);
 Result<Organisation>
@@ -127,7 +129,7 @@
 std::string formatUpstream(const Upstream &Value);
 std::string formatAssignment(const Assignment &Value);
 
-/// The note stands beside the value's own keys in the stored JSON.
+/// Adds a change note to the stored JSON, beside the value's own keys.
 std::string addChangeNote(const std::string &Json, const ChangeNote &Note);
 ChangeNote readChangeNote(std::string_view Json);
 
--- a/include/deckpitch/declared-history.h
+++ b/include/deckpitch/declared-history.h
@@ -10,28 +10,28 @@
 
 namespace deckpitch {
 
-/// Versions may be declared faster than they can be brought to the instances;
-/// each has a bound of its own from its declaration on, which a newer one does
-/// not extend.
+/// Records when each version was declared. Versions may be declared faster than
+/// they can be distributed to the instances; each has its own deadline, counted
+/// from its declaration, which a newer version does not extend.
 class DeclaredHistory {
 public:
-  /// False when the version is not newer than all before it. Of several times
-  /// for one version the earliest holds: who hears of it late must not take
-  /// that for its declaration.
+  /// Adds a version; false if it is not newer than all others. Of several times
+  /// for one version the earliest counts, since an update that arrives late
+  /// must not pass for the declaration.
   bool add(std::uint64_t Version, TimePoint Since) {
     for (Declared &Each : m_List)
       if (Each.m_Version == Version)
         Each.m_Since = std::min(Each.m_Since, Since);
     if (Version <= newest())
       return false;
-    if (m_List.size() == MostKept)
+    if (m_List.size() == MaxKept)
       m_List.erase(m_List.begin());
     m_List.push_back({Version, Since});
     return true;
   }
 
-  /// When that version was declared, at the earliest; nothing when it is not
-  /// known.
+  /// Returns the earliest known time of the version's declaration; nullopt if
+  /// the version is unknown.
   std::optional<TimePoint> since(std::uint64_t Version) const {
     for (const Declared &Each : m_List)
       if (Each.m_Version == Version)
@@ -43,12 +43,12 @@
     return m_List.empty() ? 0 : m_List.back().m_Version;
   }
 
-  /// Since when an instance with that version has been behind; nothing when it
-  /// is not.
-  std::optional<TimePoint> behindSince(std::uint64_t Held) const {
+  /// Returns since when an instance with that version has been outdated;
+  /// nullopt if it is not.
+  std::optional<TimePoint> behindSince(std::uint64_t Current) const {
     const auto First = std::find_if(
         m_List.begin(), m_List.end(),
-        [Held](const Declared &Each) { return Each.m_Version > Held; });
+        [Current](const Declared &Each) { return Each.m_Version > Current; });
     if (First == m_List.end())
       return std::nullopt;
     return First->m_Since;
@@ -59,8 +59,8 @@
     std::uint64_t m_Version = 0;
     TimePoint m_Since{};
   };
-  /// Older ones were due long before.
-  static constexpr std::size_t MostKept = 32;
+  /// The deadlines of older versions are long past.
+  static constexpr std::size_t MaxKept = 32;
 
   std::vector<Declared> m_List;
 };
--- a/include/deckpitch/direct-settings.h
+++ b/include/deckpitch/direct-settings.h
@@ -1,4 +1,4 @@
-// Settings of a process of a fleet whose entries call the instances themselves.
+// Settings of direct mode, in which the entries call the instances directly.
 #pragma once
 
 #include "deckpitch/error.h"
@@ -13,26 +13,31 @@
 
 namespace deckpitch {
 
-/// Addresses to listen on, "ip:port"; empty ones are not served.
+/// Addresses to listen on, "ip:port"; an empty address disables its listener.
 struct DirectListen {
   std::string m_Callers;
   std::string m_Ready;
   std::string m_Directory;
-  std::string m_Operator; ///< metrics and state
-  std::string m_Link;     ///< UDP, between the system's processes
+  std::string m_Operator; ///< metrics and status
+  std::string m_Link;     ///< UDP messages between entries and agents
   std::string m_Bulk;     ///< weights between agents
 
   friend bool operator==(const DirectListen &, const DirectListen &) = default;
 };
 
-/// What the operators promise or ask, as bounds on times and shares.
+/// Limits on times and retries that the operators guarantee or require.
 struct DirectBounds {
-  std::chrono::milliseconds m_Drain{2'000}; ///< a leaving instance's last calls
-  std::chrono::milliseconds m_Apply{2'000}; ///< until a declaration is in force
-  std::chrono::milliseconds m_Grace{8'000}; ///< from the stop signal to a kill
-  std::chrono::milliseconds m_Version{8'000}; ///< until all serve new weights
+  /// Time in which a leaving instance completes its requests.
+  std::chrono::milliseconds m_Drain{2'000};
+  /// Time until a declaration is in force.
+  std::chrono::milliseconds m_Apply{2'000};
+  /// Time from the stop signal to the kill of a process.
+  std::chrono::milliseconds m_Grace{8'000};
+  /// Time until all instances serve newly declared weights.
+  std::chrono::milliseconds m_Version{8'000};
   RetryShare m_Retries;
-  std::chrono::milliseconds m_AddressLifetime{2'000}; ///< of an address answer
+  /// How long callers may cache the entries' addresses.
+  std::chrono::milliseconds m_AddressLifetime{2'000};
 
   friend bool operator==(const DirectBounds &, const DirectBounds &) = default;
 };
@@ -42,23 +47,24 @@
   InstanceId m_Instance;
   DataCentreId m_DataCentre;
   DirectListen m_Listen;
-  /// Ports of every agent; its IP number is that of the instance beside it.
+  /// Ports of every agent; its IP address is that of its instance.
   std::uint32_t m_AgentLinkPort = 0;
   std::uint32_t m_AgentBulkPort = 0;
   std::string m_Store;    ///< "scheme://ip:port"
-  std::string m_Upstream; ///< agents: "scheme://ip:port" of the instance
-  std::string m_Service;  ///< agents: the instance's service
-  double m_LinkMbps = 0;  ///< of this machine, each way; 0: unlimited
+  std::string m_Upstream; ///< agents only: "scheme://ip:port" of the instance
+  std::string m_Service;  ///< agents only: the instance's service
+  double m_LinkMbps = 0;  ///< of this instance, each way; 0: unlimited
   DirectBounds m_Bounds;
 
   friend bool operator==(const DirectSettings &,
                          const DirectSettings &) = default;
 };
 
-/// Whether the text is one of these settings: it says "mode": "direct".
+/// Whether the JSON text is settings of direct mode: has "mode": "direct".
 bool areDirectSettings(std::string_view Json);
 
-/// Errors: InvalidInput, with every fault found loaded as Problems.
+/// Parses the settings. Errors: InvalidInput, with all faults loaded as
+/// Problems.
 Result<DirectSettings> parseDirectSettings(std::string_view Json);
 
 } // namespace deckpitch
--- a/include/deckpitch/error.h
+++ b/include/deckpitch/error.h
@@ -15,16 +15,16 @@
 
 template <typename T> using Result = boost::leaf::result<T>;
 
-/// What went wrong, as far as the one who handles it must tell cases apart.
+/// The kinds of errors that handlers distinguish.
 enum class ErrorCode {
-  InvalidInput, ///< the sender must change what it sends
+  InvalidInput, ///< the sender must change its input
   NotFound,     ///< no such object
   Conflict,     ///< another write came first
-  Unavailable,  ///< the other side is down, or refuses for now
+  Unavailable,  ///< the other side is down or refuses temporarily
   Timeout,      ///< no answer in time: the effect is unknown
-  StaleFence,   ///< an order carried an old fencing number
+  StaleFence,   ///< an order had an old fencing number
   CorruptData,  ///< a digest does not match
-  Unsupported,  ///< the other side lacks the ability
+  Unsupported,  ///< the other side does not support the operation
 };
 
 struct Error {
@@ -35,24 +35,24 @@
   friend bool operator==(const Error &, const Error &) = default;
 };
 
-/// One fault found in a document.
+/// A fault in a document.
 struct Problem {
   std::string m_Path;     ///< e.g. "readiness[2].ready"
-  std::string m_Value;    ///< what was found, as JSON
-  std::string m_Expected; ///< what would be right
+  std::string m_Value;    ///< the value found, as JSON
+  std::string m_Expected; ///< description of a valid value
 
   friend bool operator==(const Problem &, const Problem &) = default;
 };
 
-/// Every fault of a document at once.
+/// All faults of a document.
 struct Problems {
   std::vector<Problem> m_List;
 
   friend bool operator==(const Problems &, const Problems &) = default;
 };
 
-/// What a parser does with keys that it does not know: operators' input is
-/// refused, what a newer release has stored is read as far as it is known.
+/// How a parser treats unknown keys: they are refused in operators' input, and
+/// ignored in stored objects, which a newer release may have written.
 enum class UnknownKeys { Refuse, Ignore };
 
 /// Fails the calling function:  return fail(ErrorCode::NotFound, "no pool x");
@@ -60,11 +60,11 @@
   return boost::leaf::new_error(Error{Code, std::move(Message)});
 }
 
-/// A result whose error travels by value: LEAF keeps error objects per thread,
-/// and a coroutine may resume elsewhere.
+/// A result that holds its error by value. LEAF keeps error objects per thread,
+/// but a coroutine may resume on another thread.
 template <typename T> using Outcome = boost::system::result<T, Error>;
 
-/// Runs a function that gives a Result and makes an Outcome of it.
+/// Calls a function that returns a Result and converts that to an Outcome.
 ///
 ///   Outcome<Pool> Parsed = outcomeOf([&] { return parsePool(Text); });
 template <typename Function> auto outcomeOf(Function &&Body) {
--- a/include/deckpitch/event.h
+++ b/include/deckpitch/event.h
@@ -8,9 +8,9 @@
 
 enum class Severity { Debug, Info, Warning, Error };
 
-/// Numbers are for good: a retired one is not given again. 1xxx process,
-/// 2xxx declarations and membership, 3xxx weights, 4xxx requests, 5xxx
-/// platform and other outside interfaces.
+/// Numbered log events. Numbers are permanent and never reused. 1xxx: process,
+/// 2xxx: declarations and membership, 3xxx: weights, 4xxx: requests,
+/// 5xxx: platform and other external interfaces.
 enum class Event : int {
   ProcessStarted = 1000,
   ProcessDraining = 1001,
@@ -172,7 +172,7 @@
     EventInfo{Event::ReportUnavailable, Severity::Warning, "ReportUnavailable"},
 };
 
-/// The catalogue's entry, or null for a number that has none.
+/// Returns the catalogue entry of the event, or null if there is none.
 constexpr const EventInfo *findEvent(Event Wanted) {
   for (const EventInfo &Each : EventCatalogue)
     if (Each.m_Event == Wanted)
--- a/include/deckpitch/id.h
+++ b/include/deckpitch/id.h
@@ -1,4 +1,4 @@
-// Identifiers of the things the system keeps in containers.
+// Strongly typed identifiers and numbers.
 #pragma once
 
 #include <compare>
@@ -8,7 +8,7 @@
 
 namespace deckpitch {
 
-/// A name that cannot be mistaken for the name of another kind of thing.
+/// A name with a type of its own for each kind of object.
 ///
 ///   InstanceId Id{"agent-7"};
 template <typename Tag> struct Id {
@@ -25,19 +25,21 @@
 /// Names a weights object: "model@version" or "model+adapter@version".
 using WeightsId = Id<struct WeightsTag>;
 
-/// One life of a process. It grows at each restart under the same instance id.
+/// Identifies one run of a process. It increases with each restart under the
+/// same instance id.
 struct Incarnation {
   std::uint64_t m_Value = 0;
   friend auto operator<=>(const Incarnation &, const Incarnation &) = default;
 };
 
-/// Position in the platform's history of writes; comparable over all objects.
+/// A position in the platform's history of writes; comparable between objects.
 struct Revision {
   std::uint64_t m_Value = 0;
   friend auto operator<=>(const Revision &, const Revision &) = default;
 };
 
-/// Number that an order to an upstream carries; an older one must not win.
+/// A number in each order to an upstream, by which an older order cannot
+/// override a newer one.
 struct FencingNumber {
   std::uint64_t m_Value = 0;
   friend auto operator<=>(const FencingNumber &,
--- a/include/deckpitch/json-reader.h
+++ b/include/deckpitch/json-reader.h
@@ -1,4 +1,4 @@
-// Reads JSON documents into aggregates, gathering every fault.
+// Reads JSON documents into aggregates and collects all faults.
 #pragma once
 
 #include "deckpitch/error.h"
@@ -18,13 +18,13 @@
 /// line and column.
 Result<boost::json::value> parseJson(std::string_view Text);
 
-/// Loads the problems and fails with InvalidInput listing them all.
+/// Fails with an InvalidInput error that lists all problems, and loads them.
 boost::leaf::error_id failWith(Problems Found);
 
-/// One line for each problem.
+/// Formats the problems, one per line.
 std::string formatProblems(const Problems &Found);
 
-/// Takes known keys out of one object; finish() reports those left over.
+/// Reads the known keys of a JSON object; finish() reports all others.
 ///
 ///   JsonObjectReader Reader(Value, "", Found);
 ///   Reader.optional("share", Share, 1, 1000);
@@ -38,16 +38,15 @@
   void required(std::string_view Key, std::string &Out);
   void optional(std::string_view Key, std::string &Out);
   void optional(std::string_view Key, bool &Out);
-  void optional(std::string_view Key, std::uint32_t &Out, std::uint32_t Least,
-                std::uint32_t Most);
-  void optional(std::string_view Key, std::uint64_t &Out, std::uint64_t Least,
-                std::uint64_t Most);
-  void optional(std::string_view Key, double &Out, double Least, double Most);
+  void optional(std::string_view Key, std::uint32_t &Out, std::uint32_t Min,
+                std::uint32_t Max);
+  void optional(std::string_view Key, std::uint64_t &Out, std::uint64_t Min,
+                std::uint64_t Max);
+  void optional(std::string_view Key, double &Out, double Min, double Max);
   /// A number of milliseconds.
   void optional(std::string_view Key, std::chrono::milliseconds &Out,
-                std::chrono::milliseconds Least,
-                std::chrono::milliseconds Most);
-  /// One of the given words; gives its index.
+                std::chrono::milliseconds Min, std::chrono::milliseconds Max);
+  /// Reads one of the given words and stores its index.
   void choice(std::string_view Key, std::size_t &Out,
               const std::vector<std::string_view> &Words,
               bool IsRequired = false);
@@ -59,17 +58,17 @@
                                       const std::string &Path)> &ReadEach);
   /// Reports a fault found by the caller.
   void problem(std::string_view Key, std::string Expected);
-  /// Reports every key that nobody asked for, unless they are ignored.
+  /// Reports all keys that were not read, unless unknown keys are ignored.
   void finish();
 
 private:
-  const boost::json::value *take(std::string_view Key);
+  const boost::json::value *takeValue(std::string_view Key);
   std::string pathOf(std::string_view Key) const;
 
   const boost::json::object *m_Object = nullptr;
   std::string m_Path;
-  Problems *m_Found;
-  std::vector<std::string> m_Taken;
+  Problems *m_Problems;
+  std::vector<std::string> m_ReadKeys;
   UnknownKeys m_Unknown;
 };
 
--- a/include/deckpitch/name.h
+++ b/include/deckpitch/name.h
@@ -5,8 +5,9 @@
 
 namespace deckpitch {
 
-/// Names become parts of paths and of weights ids, so their characters are few;
-/// those of dots alone would mean something else in a path.
+/// Whether the text is a valid name. Names become parts of paths and weights
+/// ids, so few characters are allowed; names of dots alone would have a special
+/// meaning in a path.
 bool isGoodName(std::string_view Name);
 
 inline constexpr const char *GoodNameExpected =
--- a/include/deckpitch/settings.h
+++ b/include/deckpitch/settings.h
@@ -1,4 +1,4 @@
-// Settings of a process: JSON with comments, checked as a whole.
+// The settings of a process, read from JSON with comments.
 #pragma once
 
 #include "deckpitch/declaration.h"
@@ -14,7 +14,7 @@
 
 namespace deckpitch {
 
-/// Addresses to listen on, "ip:port"; port 0 lets the system choose.
+/// Addresses to listen on, "ip:port"; port 0 selects any free port.
 struct ListenSettings {
   std::string m_Control = "127.0.0.1:0";
   std::string m_Requests = "127.0.0.1:0";
@@ -25,18 +25,18 @@
                          const ListenSettings &) = default;
 };
 
-/// The engine or plain service beside an agent.
+/// The engine or service of an agent.
 struct UpstreamSettings {
   std::string m_Name; ///< names an Upstream declaration
   PoolKind m_Kind = PoolKind::Engine;
   std::string m_Address; ///< "ip:port" of its HTTP interface
-  PoolId m_Pool;         ///< services: the pool it belongs to
+  PoolId m_Pool;         ///< services only: the pool it belongs to
 
   friend bool operator==(const UpstreamSettings &,
                          const UpstreamSettings &) = default;
 };
 
-/// How an agent copies weights.
+/// Settings of the distribution of weights between agents.
 struct WeightsSettings {
   std::string m_Origin; ///< "ip:port" of the origin of weights
   std::string
@@ -44,7 +44,7 @@
   std::uint64_t m_MemoryBytes = 64ULL * 1024 * 1024;
   std::uint64_t m_UploadBytesPerSecond = 0;   ///< 0: unlimited
   std::uint64_t m_DownloadBytesPerSecond = 0; ///< 0: unlimited
-  bool m_SharedLink = false; ///< uploads count against the download's rate
+  bool m_SharedLink = false; ///< uploads count towards the download rate
   std::uint32_t m_Peers = 16;
 
   friend bool operator==(const WeightsSettings &,
@@ -63,9 +63,10 @@
 struct RequestSettings {
   std::uint32_t m_MaxBodyBytes = 4 * 1024 * 1024;
   std::chrono::milliseconds m_DefaultDeadline{30'000};
-  std::chrono::milliseconds m_AddressLifetime{10'000}; ///< of an address answer
-  std::uint32_t m_InstanceConcurrency =
-      64; ///< agents: first guess of the upstream's limit
+  /// How long callers may cache the entries' addresses.
+  std::chrono::milliseconds m_AddressLifetime{10'000};
+  /// Agents only: initial limit on concurrent requests to the upstream.
+  std::uint32_t m_InstanceConcurrency = 64;
 
   friend bool operator==(const RequestSettings &,
                          const RequestSettings &) = default;
@@ -77,9 +78,9 @@
   DataCentreId m_DataCentre;
   ListenSettings m_Listen;
   std::vector<std::string>
-      m_Entries;               ///< control addresses of entries to start from
+      m_Entries;               ///< control addresses of entries to join through
   std::string m_Platform;      ///< "ip:port" of the platform's object interface
-  std::uint32_t m_Threads = 2; ///< workers beside the control loop
+  std::uint32_t m_Threads = 2; ///< worker threads besides the control loop
   std::chrono::milliseconds m_DrainLimit{600'000};
   UpstreamSettings m_Upstream; ///< agents only
   WeightsSettings m_Weights;   ///< agents only
@@ -89,7 +90,8 @@
   friend bool operator==(const Settings &, const Settings &) = default;
 };
 
-/// Errors: InvalidInput, with every fault found loaded as Problems.
+/// Parses the settings. Errors: InvalidInput, with all faults loaded as
+/// Problems.
 Result<Settings> parseSettings(std::string_view Json);
 
 } // namespace deckpitch
--- a/include/deckpitch/snapshot.h
+++ b/include/deckpitch/snapshot.h
@@ -9,8 +9,8 @@
 
 namespace deckpitch {
 
-/// Holds the current version of an immutable value. Readers share one word
-/// that only a publication writes; see SnapshotReader.
+/// Holds the current version of an immutable value. While it does not change,
+/// readers access only a generation counter; see SnapshotReader.
 ///
 ///   SnapshotCell<Routes> Cell(std::make_shared<const Routes>());
 ///   Cell.publish(std::make_shared<const Routes>(NewRoutes));
@@ -28,7 +28,7 @@
     m_Generation.fetch_add(1, std::memory_order_release);
   }
 
-  /// The current value. The lock is held for a pointer copy only.
+  /// Returns the current value. The lock is held only to copy a pointer.
   std::shared_ptr<const T> load() const {
     std::lock_guard Lock(m_Mutex);
     return m_Current;
@@ -44,24 +44,24 @@
   std::atomic<std::uint64_t> m_Generation{1};
 };
 
-/// One thread's view of a cell; touches the shared pointer only when a newer
-/// value was published. Not to be shared between threads.
+/// Caches the value of a cell for one thread and reloads it only after a newer
+/// one has been published. Not thread-safe.
 template <typename T> class SnapshotReader {
 public:
   explicit SnapshotReader(const SnapshotCell<T> &Cell) : m_Cell(&Cell) {}
 
   const std::shared_ptr<const T> &get() {
     const std::uint64_t Generation = m_Cell->generation();
-    if (Generation != m_Seen) {
+    if (Generation != m_CachedGeneration) {
       m_Value = m_Cell->load();
-      m_Seen = Generation;
+      m_CachedGeneration = Generation;
     }
     return m_Value;
   }
 
 private:
   const SnapshotCell<T> *m_Cell;
-  std::uint64_t m_Seen = 0;
+  std::uint64_t m_CachedGeneration = 0;
   std::shared_ptr<const T> m_Value;
 };
 
--- a/include/deckpitch/time.h
+++ b/include/deckpitch/time.h
@@ -1,4 +1,4 @@
-// The time that decisions see: monotonic, handed in with each event.
+// The clock of all decisions: monotonic, with the time passed in.
 #pragma once
 
 #include <chrono>
@@ -6,8 +6,8 @@
 
 namespace deckpitch {
 
-/// Monotonic clock of the decisions. It has no now(): loops pass real time,
-/// tests pass virtual time.
+/// A monotonic clock without now(): event loops pass in real time, tests pass
+/// in virtual time.
 struct Clock {
   using duration = std::chrono::nanoseconds;
   using rep = duration::rep;
@@ -19,7 +19,7 @@
 using Duration = Clock::duration;
 using TimePoint = Clock::time_point;
 
-/// For log lines: whole milliseconds, 0 for what is past.
+/// Converts to whole milliseconds for log lines; negative values give 0.
 inline std::uint64_t msOf(Duration Value) {
   const auto Count =
       std::chrono::duration_cast<std::chrono::milliseconds>(Value).count();
--- a/src/kernel/applied-history.cc
+++ b/src/kernel/applied-history.cc
@@ -40,7 +40,7 @@
 void AppliedHistory::add(Duration At, const std::string &Object, Revision To,
                          Revision Complete) {
   m_Changes.push_back({++m_Total, At, Object, To, Complete});
-  if (m_Changes.size() > m_Most)
+  if (m_Changes.size() > m_MaxChanges)
     m_Changes.pop_front();
 }
 
--- a/src/kernel/declaration-store.cc
+++ b/src/kernel/declaration-store.cc
@@ -9,7 +9,8 @@
 
 namespace {
 
-/// Deletions kept for replicas that lag; more than a day's changes.
+/// Number of deletions kept for replicas that lag; more than the changes of a
+/// day.
 constexpr std::size_t KeptDeletions = 2'000;
 
 std::uint64_t hashOf(const DeclaredObject &Object) {
@@ -19,14 +20,14 @@
 }
 
 template <typename Map, typename Key, typename Parse>
-bool switchEntry(Map &In, const Key &Name, const DeclaredObject &Object,
-                 Parse Read) {
+bool updateObject(Map &In, const Key &Name, const DeclaredObject &Object,
+                  Parse Parser) {
   if (Object.m_Deleted) {
     In.erase(Name);
     return true;
   }
   const auto Parsed =
-      outcomeOf([&] { return Read(Object.m_Json, UnknownKeys::Ignore); });
+      outcomeOf([&] { return Parser(Object.m_Json, UnknownKeys::Ignore); });
   if (!Parsed)
     return false;
   In[Name] = {Object.m_Revision, *Parsed, readChangeNote(Object.m_Json)};
@@ -42,46 +43,49 @@
   return Kinds;
 }
 
-bool DeclarationStore::accept(const DeclaredObject &Object) {
+bool DeclarationStore::acceptIfNewer(const DeclaredObject &Object) {
   const auto &Kinds = replicatedKinds();
   if (std::find(Kinds.begin(), Kinds.end(), Object.m_Kind) == Kinds.end())
     return false;
   const Key At{Object.m_Kind, Object.m_Name};
-  if (Object.m_Revision <= m_ForgottenUpTo && !m_Objects.contains(At))
-    return false; // older than a deletion that is no longer kept
-  DeclaredObject &Held = m_Objects[At];
-  if (Object.m_Revision <= Held.m_Revision)
+  if (Object.m_Revision <= m_DroppedUpTo && !m_Objects.contains(At))
+    return false; // may be older than a deletion that is no longer kept
+  DeclaredObject &Stored = m_Objects[At];
+  if (Object.m_Revision <= Stored.m_Revision)
     return false;
-  const bool WasLive = Held.m_Revision.m_Value > 0 && !Held.m_Deleted;
+  const bool WasLive = Stored.m_Revision.m_Value > 0 && !Stored.m_Deleted;
   if (WasLive)
-    m_Digest -= hashOf(Held);
-  Held = Object;
-  if (!Held.m_Deleted)
-    m_Digest += hashOf(Held);
-  m_Newest = std::max(m_Newest, Held.m_Revision);
-  switchParsed(Held);
-  return WasLive || !Held.m_Deleted;
+    m_Digest -= hashOf(Stored);
+  Stored = Object;
+  if (!Stored.m_Deleted)
+    m_Digest += hashOf(Stored);
+  m_Newest = std::max(m_Newest, Stored.m_Revision);
+  updateSnapshot(Stored);
+  return WasLive || !Stored.m_Deleted;
 }
 
-void DeclarationStore::switchParsed(const DeclaredObject &Object) {
+void DeclarationStore::updateSnapshot(const DeclaredObject &Object) {
   DeclarationSet &Set = m_Snapshot;
-  bool Read = true;
+  bool IsReadable = true;
   if (Object.m_Kind == PoolsKind)
-    Read = switchEntry(Set.m_Pools, PoolId{Object.m_Name}, Object, parsePool);
+    IsReadable =
+        updateObject(Set.m_Pools, PoolId{Object.m_Name}, Object, parsePool);
   else if (Object.m_Kind == OrganisationsKind)
-    Read = switchEntry(Set.m_Organisations, OrganisationId{Object.m_Name},
-                       Object, parseOrganisation);
+    IsReadable =
+        updateObject(Set.m_Organisations, OrganisationId{Object.m_Name}, Object,
+                     parseOrganisation);
   else if (Object.m_Kind == UpstreamsKind)
-    Read = switchEntry(Set.m_Upstreams, Object.m_Name, Object, parseUpstream);
+    IsReadable =
+        updateObject(Set.m_Upstreams, Object.m_Name, Object, parseUpstream);
   else if (Object.m_Revision > Set.m_Assignment.m_Revision) {
-    std::map<int, Declared<Assignment>> One;
-    Read = switchEntry(One, 0, Object, parseAssignment);
-    if (Read)
+    std::map<int, Declared<Assignment>> Parsed;
+    IsReadable = updateObject(Parsed, 0, Object, parseAssignment);
+    if (IsReadable)
       Set.m_Assignment = Object.m_Deleted
                              ? Declared<Assignment>{Object.m_Revision, {}}
-                             : One[0];
+                             : Parsed[0];
   }
-  m_Unreadable += Read ? 0 : 1;
+  m_Unreadable += IsReadable ? 0 : 1;
 }
 
 bool DeclarationStore::deleteMissing(const std::string &Kind, Revision AsOf,
@@ -91,12 +95,12 @@
     if (Each.m_Kind == Kind && !Each.m_Deleted)
       Named.insert(Each.m_Name);
   std::vector<DeclaredObject> Deleted;
-  for (const auto &[At, Held] : m_Objects)
-    if (At.m_Kind == Kind && !Held.m_Deleted && Held.m_Revision < AsOf &&
+  for (const auto &[At, Stored] : m_Objects)
+    if (At.m_Kind == Kind && !Stored.m_Deleted && Stored.m_Revision < AsOf &&
         !Named.contains(At.m_Name))
       Deleted.push_back({Kind, At.m_Name, AsOf, true, {}});
   for (const DeclaredObject &Each : Deleted)
-    accept(Each);
+    acceptIfNewer(Each);
   return !Deleted.empty();
 }
 
@@ -104,7 +108,7 @@
   Revision &Complete = m_Complete[Kind];
   Complete = std::max(Complete, To);
   m_Snapshot.m_Revision = revision();
-  forgetOldDeletions();
+  dropOldDeletions();
 }
 
 Revision DeclarationStore::revision() const {
@@ -122,7 +126,7 @@
   const Revision Before = revision();
   bool Changed = false;
   for (const DeclaredObject &Each : Items)
-    Changed = accept(Each) || Changed;
+    Changed = acceptIfNewer(Each) || Changed;
   if (AsOf > m_Complete[Kind])
     Changed = deleteMissing(Kind, AsOf, Items) || Changed;
   advance(Kind, AsOf);
@@ -131,13 +135,13 @@
 
 DeclarationStore::Effect
 DeclarationStore::applyEvent(const DeclaredObject &Object) {
-  return accept(Object) ? Effect::Changed : Effect::None;
+  return acceptIfNewer(Object) ? Effect::Changed : Effect::None;
 }
 
 bool DeclarationStore::applyWhole(const DeclarationUpdate &Update) {
   bool Changed = false;
   for (const DeclaredObject &Each : Update.m_Objects)
-    Changed = accept(Each) || Changed;
+    Changed = acceptIfNewer(Each) || Changed;
   if (Update.m_Revision <= revision())
     return Changed;
   for (const std::string &Kind : replicatedKinds())
@@ -156,7 +160,7 @@
     return Effect::Gap;
   } else {
     for (const DeclaredObject &Each : Update.m_Objects)
-      Changed = accept(Each) || Changed;
+      Changed = acceptIfNewer(Each) || Changed;
   }
   for (const std::string &Kind : replicatedKinds())
     advance(Kind, Update.m_Revision);
@@ -164,12 +168,12 @@
 }
 
 DeclarationUpdate DeclarationStore::changesSince(Revision Have) const {
-  if (Have < m_ForgottenUpTo || Have.m_Value == 0)
+  if (Have < m_DroppedUpTo || Have.m_Value == 0)
     return whole();
   DeclarationUpdate Update{Have, revision(), false, m_Digest, {}};
-  for (const auto &[At, Held] : m_Objects)
-    if (Held.m_Revision > Have)
-      Update.m_Objects.push_back(Held);
+  for (const auto &[At, Stored] : m_Objects)
+    if (Stored.m_Revision > Have)
+      Update.m_Objects.push_back(Stored);
   return Update;
 }
 
@@ -179,8 +183,8 @@
 
 DeclarationUpdate DeclarationStore::whole() const {
   DeclarationUpdate Update{{}, revision(), true, m_Digest, {}};
-  for (const auto &[At, Held] : m_Objects)
-    Update.m_Objects.push_back(Held);
+  for (const auto &[At, Stored] : m_Objects)
+    Update.m_Objects.push_back(Stored);
   return Update;
 }
 
@@ -195,26 +199,26 @@
 std::vector<DeclaredObject>
 DeclarationStore::list(const std::string &Kind) const {
   std::vector<DeclaredObject> Items;
-  for (const auto &[At, Held] : m_Objects)
-    if (At.m_Kind == Kind && !Held.m_Deleted)
-      Items.push_back(Held);
+  for (const auto &[At, Stored] : m_Objects)
+    if (At.m_Kind == Kind && !Stored.m_Deleted)
+      Items.push_back(Stored);
   return Items;
 }
 
-void DeclarationStore::forgetOldDeletions() {
+void DeclarationStore::dropOldDeletions() {
   if (m_Objects.size() <= KeptDeletions)
     return;
   std::vector<std::pair<Revision, Key>> Deletions;
-  for (const auto &[At, Held] : m_Objects)
-    if (Held.m_Deleted && Held.m_Revision <= revision())
-      Deletions.emplace_back(Held.m_Revision, At);
+  for (const auto &[At, Stored] : m_Objects)
+    if (Stored.m_Deleted && Stored.m_Revision <= revision())
+      Deletions.emplace_back(Stored.m_Revision, At);
   if (Deletions.size() <= KeptDeletions)
     return;
   std::sort(Deletions.begin(), Deletions.end());
   Deletions.resize(Deletions.size() - KeptDeletions / 2);
   for (const auto &[At, Name] : Deletions)
     m_Objects.erase(Name);
-  m_ForgottenUpTo = std::max(m_ForgottenUpTo, Deletions.back().first);
+  m_DroppedUpTo = std::max(m_DroppedUpTo, Deletions.back().first);
 }
 
 } // namespace deckpitch
--- a/src/kernel/declaration.cc
+++ b/src/kernel/declaration.cc
@@ -15,7 +15,8 @@
 constexpr std::string_view NameCharacters =
     "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_.";
 
-/// An empty one is missing, which its reader has reported if it is needed.
+/// Checks a name unless it is empty: then it is missing, which the reader has
+/// already reported if the name is required.
 void checkName(JsonObjectReader &Reader, std::string_view Key,
                const std::string &Name) {
   if (!Name.empty() && !isGoodName(Name))
@@ -31,11 +32,11 @@
     Inner.required("dataCentre", Readiness.m_DataCentre.m_Text);
     Inner.optional("ready", Readiness.m_Ready, 0, 100'000);
     Inner.finish();
-    const bool Twice = std::any_of(
+    const bool IsDuplicate = std::any_of(
         Out.begin(), Out.end(), [&](const DataCentreReadiness &Other) {
           return Other.m_DataCentre == Readiness.m_DataCentre;
         });
-    if (Twice)
+    if (IsDuplicate)
       Inner.problem("dataCentre", "each data centre once");
     Out.push_back(std::move(Readiness));
   });
--- a/src/kernel/direct-settings.cc
+++ b/src/kernel/direct-settings.cc
@@ -11,7 +11,7 @@
 using std::chrono::milliseconds;
 
 constexpr milliseconds Hour{3'600'000};
-constexpr std::uint32_t MostPort = 65'535;
+constexpr std::uint32_t MaxPort = 65'535;
 constexpr const char *Mode = "direct";
 
 void readListen(JsonObjectReader &Reader, DirectListen &Out) {
@@ -24,8 +24,8 @@
 }
 
 void readAgents(JsonObjectReader &Reader, DirectSettings &Out) {
-  Reader.optional("linkPort", Out.m_AgentLinkPort, 1, MostPort);
-  Reader.optional("bulkPort", Out.m_AgentBulkPort, 1, MostPort);
+  Reader.optional("linkPort", Out.m_AgentLinkPort, 1, MaxPort);
+  Reader.optional("bulkPort", Out.m_AgentBulkPort, 1, MaxPort);
 }
 
 void readBounds(JsonObjectReader &Reader, DirectBounds &Out) {
--- a/src/kernel/json-reader.cc
+++ b/src/kernel/json-reader.cc
@@ -23,9 +23,9 @@
   return At;
 }
 
-template <typename Number> std::string rangeText(Number Least, Number Most) {
-  return "a whole number from " + std::to_string(Least) + " to " +
-         std::to_string(Most);
+template <typename Number> std::string rangeText(Number Min, Number Max) {
+  return "a whole number from " + std::to_string(Min) + " to " +
+         std::to_string(Max);
 }
 
 } // namespace
@@ -67,11 +67,11 @@
 JsonObjectReader::JsonObjectReader(const boost::json::value &Value,
                                    std::string Path, Problems &Found,
                                    UnknownKeys Unknown)
-    : m_Object(Value.if_object()), m_Path(std::move(Path)), m_Found(&Found),
+    : m_Object(Value.if_object()), m_Path(std::move(Path)), m_Problems(&Found),
       m_Unknown(Unknown) {
   if (!m_Object)
-    m_Found->m_List.push_back({m_Path.empty() ? "document" : m_Path,
-                               boost::json::serialize(Value), "an object"});
+    m_Problems->m_List.push_back({m_Path.empty() ? "document" : m_Path,
+                                  boost::json::serialize(Value), "an object"});
 }
 
 std::string JsonObjectReader::pathOf(std::string_view Key) const {
@@ -82,21 +82,21 @@
   return m_Object && m_Object->contains(Key);
 }
 
-const boost::json::value *JsonObjectReader::take(std::string_view Key) {
-  m_Taken.emplace_back(Key);
+const boost::json::value *JsonObjectReader::takeValue(std::string_view Key) {
+  m_ReadKeys.emplace_back(Key);
   return m_Object ? m_Object->if_contains(Key) : nullptr;
 }
 
 void JsonObjectReader::problem(std::string_view Key, std::string Expected) {
   const boost::json::value *Value =
       m_Object ? m_Object->if_contains(Key) : nullptr;
-  m_Found->m_List.push_back({pathOf(Key),
-                             Value ? boost::json::serialize(*Value) : "nothing",
-                             std::move(Expected)});
+  m_Problems->m_List.push_back(
+      {pathOf(Key), Value ? boost::json::serialize(*Value) : "nothing",
+       std::move(Expected)});
 }
 
 void JsonObjectReader::required(std::string_view Key, std::string &Out) {
-  const boost::json::value *Value = take(Key);
+  const boost::json::value *Value = takeValue(Key);
   if (Value && Value->is_string() && !Value->get_string().empty())
     Out = std::string(Value->get_string());
   else if (m_Object)
@@ -104,7 +104,7 @@
 }
 
 void JsonObjectReader::optional(std::string_view Key, std::string &Out) {
-  const boost::json::value *Value = take(Key);
+  const boost::json::value *Value = takeValue(Key);
   if (Value && Value->is_string())
     Out = std::string(Value->get_string());
   else if (Value)
@@ -112,7 +112,7 @@
 }
 
 void JsonObjectReader::optional(std::string_view Key, bool &Out) {
-  const boost::json::value *Value = take(Key);
+  const boost::json::value *Value = takeValue(Key);
   if (Value && Value->is_bool())
     Out = Value->get_bool();
   else if (Value)
@@ -120,52 +120,52 @@
 }
 
 void JsonObjectReader::optional(std::string_view Key, std::uint64_t &Out,
-                                std::uint64_t Least, std::uint64_t Most) {
-  const boost::json::value *Value = take(Key);
+                                std::uint64_t Min, std::uint64_t Max) {
+  const boost::json::value *Value = takeValue(Key);
   if (!Value)
     return;
   boost::json::error_code Ec;
   const auto Number =
       Value->is_number() ? Value->to_number<std::uint64_t>(Ec) : 0;
-  if (!Value->is_number() || Ec || Number < Least || Number > Most)
-    return problem(Key, rangeText(Least, Most));
+  if (!Value->is_number() || Ec || Number < Min || Number > Max)
+    return problem(Key, rangeText(Min, Max));
   Out = Number;
 }
 
-void JsonObjectReader::optional(std::string_view Key, double &Out, double Least,
-                                double Most) {
-  const boost::json::value *Value = take(Key);
+void JsonObjectReader::optional(std::string_view Key, double &Out, double Min,
+                                double Max) {
+  const boost::json::value *Value = takeValue(Key);
   if (!Value)
     return;
   boost::json::error_code Ec;
   const double Number = Value->is_number() ? Value->to_number<double>(Ec) : 0;
-  if (!Value->is_number() || Ec || Number < Least || Number > Most)
-    return problem(Key, "a number from " + std::to_string(Least) + " to " +
-                            std::to_string(Most));
+  if (!Value->is_number() || Ec || Number < Min || Number > Max)
+    return problem(Key, "a number from " + std::to_string(Min) + " to " +
+                            std::to_string(Max));
   Out = Number;
 }
 
 void JsonObjectReader::optional(std::string_view Key, std::uint32_t &Out,
-                                std::uint32_t Least, std::uint32_t Most) {
+                                std::uint32_t Min, std::uint32_t Max) {
   std::uint64_t Wide = Out;
-  optional(Key, Wide, Least, Most);
+  optional(Key, Wide, Min, Max);
   Out = static_cast<std::uint32_t>(Wide);
 }
 
 void JsonObjectReader::optional(std::string_view Key,
                                 std::chrono::milliseconds &Out,
-                                std::chrono::milliseconds Least,
-                                std::chrono::milliseconds Most) {
+                                std::chrono::milliseconds Min,
+                                std::chrono::milliseconds Max) {
   auto Count = static_cast<std::uint64_t>(Out.count());
-  optional(Key, Count, static_cast<std::uint64_t>(Least.count()),
-           static_cast<std::uint64_t>(Most.count()));
+  optional(Key, Count, static_cast<std::uint64_t>(Min.count()),
+           static_cast<std::uint64_t>(Max.count()));
   Out = std::chrono::milliseconds(Count);
 }
 
 void JsonObjectReader::choice(std::string_view Key, std::size_t &Out,
                               const std::vector<std::string_view> &Words,
                               bool IsRequired) {
-  const boost::json::value *Value = take(Key);
+  const boost::json::value *Value = takeValue(Key);
   if (!Value && !IsRequired)
     return;
   if (Value && Value->is_string()) {
@@ -187,10 +187,10 @@
 void JsonObjectReader::object(
     std::string_view Key, const std::function<void(JsonObjectReader &)> &Read,
     UnknownKeys Unknown) {
-  const boost::json::value *Value = take(Key);
+  const boost::json::value *Value = takeValue(Key);
   if (!Value)
     return;
-  JsonObjectReader Inner(*Value, pathOf(Key), *m_Found, Unknown);
+  JsonObjectReader Inner(*Value, pathOf(Key), *m_Problems, Unknown);
   Read(Inner);
   Inner.finish();
 }
@@ -199,7 +199,7 @@
     std::string_view Key,
     const std::function<void(const boost::json::value &,
                              const std::string &Path)> &ReadEach) {
-  const boost::json::value *Value = take(Key);
+  const boost::json::value *Value = takeValue(Key);
   if (!Value)
     return;
   if (!Value->is_array())
@@ -214,8 +214,9 @@
     return;
   for (const auto &Each : *m_Object) {
     const std::string_view Key(Each.key().data(), Each.key().size());
-    if (std::find(m_Taken.begin(), m_Taken.end(), Key) == m_Taken.end())
-      m_Found->m_List.push_back(
+    if (std::find(m_ReadKeys.begin(), m_ReadKeys.end(), Key) ==
+        m_ReadKeys.end())
+      m_Problems->m_List.push_back(
           {pathOf(Key), boost::json::serialize(Each.value()), "no such key"});
   }
 }
--- a/src/kernel/settings.cc
+++ b/src/kernel/settings.cc
@@ -85,18 +85,19 @@
          isIp(Text.substr(0, Colon));
 }
 
-/// Collects the faults of addresses; an empty one is none.
-class AddressCheck {
+/// Checks addresses and collects the faults; an empty address is valid.
+class AddressChecker {
 public:
-  explicit AddressCheck(Problems &Found) : m_Found(Found) {}
+  explicit AddressChecker(Problems &Found) : m_Found(Found) {}
 
-  void bound(const std::string &Path, const std::string &Text) {
+  void checkIpAndPort(const std::string &Path, const std::string &Text) {
     if (!Text.empty() && !isIpAndPort(Text))
       add(Path, Text, "\"ip:port\"");
   }
 
-  /// Of a port towards the outside: its adapter judges what has a scheme.
-  void outside(const std::string &Path, const std::string &Text) {
+  /// Checks the address of an external system; addresses with a scheme are
+  /// checked by its adapter.
+  void checkExternal(const std::string &Path, const std::string &Text) {
     const bool HasScheme = Text.find("://") != std::string::npos;
     if (!Text.empty() && !HasScheme && !isIpAndPort(Text))
       add(Path, Text, "\"ip:port\" or \"scheme://address\"");
@@ -113,17 +114,18 @@
 };
 
 void checkAddresses(const Settings &Value, Problems &Found) {
-  AddressCheck Check(Found);
-  Check.bound("listen.control", Value.m_Listen.m_Control);
-  Check.bound("listen.requests", Value.m_Listen.m_Requests);
-  Check.bound("listen.bulk", Value.m_Listen.m_Bulk);
-  Check.bound("listen.operator", Value.m_Listen.m_Operator);
+  AddressChecker Checker(Found);
+  Checker.checkIpAndPort("listen.control", Value.m_Listen.m_Control);
+  Checker.checkIpAndPort("listen.requests", Value.m_Listen.m_Requests);
+  Checker.checkIpAndPort("listen.bulk", Value.m_Listen.m_Bulk);
+  Checker.checkIpAndPort("listen.operator", Value.m_Listen.m_Operator);
   for (std::size_t I = 0; I < Value.m_Entries.size(); ++I)
-    Check.bound("entries[" + std::to_string(I) + "]", Value.m_Entries[I]);
-  Check.outside("platform", Value.m_Platform);
-  Check.outside("upstream.address", Value.m_Upstream.m_Address);
-  Check.outside("weights.origin", Value.m_Weights.m_Origin);
-  Check.outside("weights.store", Value.m_Weights.m_Store);
+    Checker.checkIpAndPort("entries[" + std::to_string(I) + "]",
+                           Value.m_Entries[I]);
+  Checker.checkExternal("platform", Value.m_Platform);
+  Checker.checkExternal("upstream.address", Value.m_Upstream.m_Address);
+  Checker.checkExternal("weights.origin", Value.m_Weights.m_Origin);
+  Checker.checkExternal("weights.store", Value.m_Weights.m_Store);
 }
 
 } // namespace
--- a/test/applied-history-test.cc
+++ b/test/applied-history-test.cc
@@ -14,7 +14,7 @@
   return Set;
 }
 
-TEST(AppliedHistory, HoldsEachSwitchInOrderAndNothingElse) {
+TEST(AppliedHistory, RecordsOnlyChangesInOrder) {
   AppliedHistory History(10);
   History.note(1s, poolAt(3));
   History.note(2s, poolAt(3));
@@ -29,7 +29,7 @@
             (AppliedChange{2, 4s, "pools/chat", {6}, {6}}));
 }
 
-TEST(AppliedHistory, ShowsAStepBackAndADeletion) {
+TEST(AppliedHistory, RecordsRevertsAndDeletions) {
   AppliedHistory History(10);
   History.note(1s, poolAt(6));
   History.note(2s, poolAt(3));
@@ -39,7 +39,7 @@
   EXPECT_EQ(History.changes()[2].m_Revision, Revision{});
 }
 
-TEST(AppliedHistory, IsBoundedAndSaysSo) {
+TEST(AppliedHistory, IsBoundedAndCountsDroppedChanges) {
   AppliedHistory History(4);
   for (std::uint64_t I = 1; I <= 9; ++I)
     History.note(1s, poolAt(I));
--- a/test/declaration-store-test.cc
+++ b/test/declaration-store-test.cc
@@ -37,7 +37,7 @@
   return Found == Pools.end() ? "" : Found->second.m_Value.m_Version;
 }
 
-/// An input after which an older version must not be back.
+/// An input that must not revert an object to an older version.
 struct OldInput {
   const char *m_Name;
   std::function<void(DeclarationStore &)> m_Apply;
@@ -71,7 +71,7 @@
 
 class NeverReverts : public testing::TestWithParam<OldInput> {};
 
-TEST_P(NeverReverts, KeepsTheNewest) {
+TEST_P(NeverReverts, KeepsNewestVersion) {
   DeclarationStore Store;
   listAll(Store, 7, {pool("chat", 5, "old"), pool("gone", 6)});
   listAll(Store, 10, {pool("chat", 9, "new")});
@@ -86,20 +86,22 @@
 INSTANTIATE_TEST_SUITE_P(Old, NeverReverts, testing::ValuesIn(OldInputs),
                          [](const auto &Info) { return Info.param.m_Name; });
 
-TEST(DeclarationStore, AnEventIsAppliedButCompletesNothing) {
+TEST(DeclarationStore, EventDoesNotAdvanceRevision) {
   DeclarationStore Store;
   listAll(Store, 10, {pool("chat", 9)});
   EXPECT_EQ(Store.applyEvent(pool("chat", 12, "2")), Effect::Changed);
   EXPECT_EQ(versionOf(Store, "chat"), "2");
-  EXPECT_EQ(Store.revision(), Revision{10}); // 11 may have been dropped
+  // The event of revision 11 may have been dropped.
+  EXPECT_EQ(Store.revision(), Revision{10});
   listAll(Store, 12, {pool("chat", 12, "2"), pool("other", 11)});
   EXPECT_EQ(Store.revision(), Revision{12});
   EXPECT_EQ(versionOf(Store, "other"), "1");
 }
 
-/// Ten minutes without the platform, on a clock of one step a second: every
-/// replica is replaced and fills itself from the one before it.
-TEST(DeclarationStore, AFleetReplacedInAnOutageKeepsWhatIsInForce) {
+/// During a ten-minute outage of the platform every replica is replaced and
+/// initialised from the one before it. The stale list that the platform answers
+/// with afterwards must not revert any of them.
+TEST(DeclarationStore, FleetReplacedDuringOutageKeepsNewestVersions) {
   std::vector<DeclarationStore> Fleet(20);
   for (DeclarationStore &Each : Fleet) {
     listAll(Each, 7, {pool("chat", 5, "old"), pool("gone", 6)});
@@ -114,7 +116,7 @@
   for (DeclarationStore &Each : Fleet) {
     EXPECT_EQ(versionOf(Each, "chat"), "new");
     EXPECT_EQ(Each.revision(), Revision{10});
-    // The platform comes back with a stale list first.
+    // After the outage the platform first answers with a stale list.
     listAll(Each, 7, {pool("chat", 5, "old"), pool("gone", 6)});
     EXPECT_EQ(versionOf(Each, "chat"), "new");
     EXPECT_EQ(versionOf(Each, "gone"), "");
@@ -122,7 +124,7 @@
   }
 }
 
-TEST(DeclarationStore, RefusesAnUpdateWithAGap) {
+TEST(DeclarationStore, RefusesUpdateWithGap) {
   DeclarationStore Store;
   listAll(Store, 10, {pool("chat", 9)});
   const DeclarationUpdate Later{{12}, {13}, false, 99, {pool("chat", 13, "3")}};
@@ -131,7 +133,7 @@
   EXPECT_EQ(Store.revision(), Revision{10});
 }
 
-TEST(DeclarationStore, EqualContentTakesTheRevisionOver) {
+TEST(DeclarationStore, EqualDigestAdvancesRevision) {
   DeclarationStore Holder;
   listAll(Holder, 10, {pool("chat", 9)});
   DeclarationStore Other;
@@ -141,7 +143,7 @@
   EXPECT_EQ(Other.revision(), Revision{40});
 }
 
-TEST(DeclarationStore, ChangesBringAReplicaToTheSameContent) {
+TEST(DeclarationStore, ChangesMakeReplicaEqual) {
   DeclarationStore Holder;
   listAll(Holder, 10, {pool("chat", 9), pool("old", 3)});
   DeclarationStore Other;
@@ -153,7 +155,7 @@
   EXPECT_EQ(Other.snapshot(), Holder.snapshot());
 }
 
-TEST(DeclarationStore, ForgottenDeletionsStayDeleted) {
+TEST(DeclarationStore, DroppedDeletionsStayInForce) {
   DeclarationStore Store;
   constexpr std::uint64_t Many = 2'500;
   std::vector<DeclaredObject> All;
@@ -163,12 +165,12 @@
   for (std::uint64_t I = 1; I <= Many; ++I)
     Store.applyEvent(deleted("p" + std::to_string(I), Many + I));
   listAll(Store, 3 * Many, {});
-  Store.applyEvent(pool("p1", 1)); // repeated after its deletion is forgotten
+  Store.applyEvent(pool("p1", 1)); // repeated after its deletion was dropped
   EXPECT_EQ(versionOf(Store, "p1"), "");
   EXPECT_TRUE(Store.changesSince({1}).m_Whole);
 }
 
-TEST(DeclarationStore, ReadsWhatANewerReleaseStored) {
+TEST(DeclarationStore, IgnoresUnknownKeysOfNewerRelease) {
   DeclarationStore Store;
   DeclaredObject Newer = pool("chat", 9);
   Newer.m_Json.insert(1, R"("colour":"red",)");
@@ -176,7 +178,7 @@
   EXPECT_EQ(versionOf(Store, "chat"), "1");
 }
 
-TEST(DeclarationStore, KeepsTheLastVersionThatItCanRead) {
+TEST(DeclarationStore, KeepsLastReadableVersion) {
   DeclarationStore Store;
   listAll(Store, 10, {pool("chat", 9)});
   Store.applyEvent({"pools", "chat", {11}, false, R"({"name":"chat"})"});
@@ -184,7 +186,7 @@
   EXPECT_EQ(Store.unreadable(), 1U);
 }
 
-TEST(DeclarationStore, LeavesKindsOfANewerReleaseAlone) {
+TEST(DeclarationStore, IgnoresUnknownKinds) {
   DeclarationStore Store;
   listAll(Store, 10, {});
   EXPECT_EQ(Store.applyEvent({"quotas", "a", {11}, false, "{}"}), Effect::None);
--- a/test/declared-history-test.cc
+++ b/test/declared-history-test.cc
@@ -9,7 +9,7 @@
 
 constexpr TimePoint Start{1'000s};
 
-TEST(DeclaredHistory, CountsFromTheFirstVersionThatIsMissing) {
+TEST(DeclaredHistory, CountsFromFirstMissingVersion) {
   DeclaredHistory History;
   EXPECT_EQ(History.behindSince(0), std::nullopt);
   EXPECT_TRUE(History.add(2, Start));
@@ -20,7 +20,7 @@
   EXPECT_EQ(History.newest(), 3U);
 }
 
-TEST(DeclaredHistory, TakesNoOlderVersion) {
+TEST(DeclaredHistory, RefusesOlderVersion) {
   DeclaredHistory History;
   EXPECT_TRUE(History.add(5, Start));
   EXPECT_FALSE(History.add(4, Start + 1s));
@@ -28,7 +28,7 @@
   EXPECT_EQ(History.behindSince(4), Start);
 }
 
-TEST(DeclaredHistory, TheEarliestTimeOfAVersionHolds) {
+TEST(DeclaredHistory, KeepsEarliestTimeOfVersion) {
   DeclaredHistory History;
   EXPECT_TRUE(History.add(2, Start + 1s));
   EXPECT_FALSE(History.add(2, Start));
@@ -39,7 +39,7 @@
   EXPECT_EQ(History.since(3), std::nullopt);
 }
 
-TEST(DeclaredHistory, StaysBounded) {
+TEST(DeclaredHistory, IsBounded) {
   DeclaredHistory History;
   for (std::uint64_t I = 1; I <= 1'000; ++I)
     History.add(I, Start + std::chrono::seconds(I));
--- a/test/direct-settings-test.cc
+++ b/test/direct-settings-test.cc
@@ -24,7 +24,7 @@
   return Parsed ? "" : Parsed.error().m_Message;
 }
 
-TEST(DirectSettings, ReadsAnEntry) {
+TEST(DirectSettings, ParsesEntrySettings) {
   ASSERT_TRUE(areDirectSettings(EntryText));
   const auto Parsed = outcomeOf([] { return parseDirectSettings(EntryText); });
   ASSERT_TRUE(Parsed) << Parsed.error().m_Message;
@@ -35,13 +35,13 @@
   EXPECT_EQ(Parsed->m_Bounds.m_Version, 8'000ms);
 }
 
-TEST(DirectSettings, LeavesOtherSettingsAlone) {
+TEST(DirectSettings, RejectsSettingsOfOtherModes) {
   EXPECT_FALSE(areDirectSettings(R"({"role": "entry"})"));
   EXPECT_FALSE(areDirectSettings("not json"));
   EXPECT_FALSE(areDirectSettings("[]"));
 }
 
-TEST(DirectSettings, NamesEveryFault) {
+TEST(DirectSettings, ReportsAllFaults) {
   const std::string Faults = faultsOf(R"({"mode": "direct", "role": "agent",
     "instance": "", "listen": {"callers": 7}, "stor": "x",
     "bounds": {"retryShare": 2, "drainMs": 0}})");
@@ -68,8 +68,9 @@
   return Out;
 }
 
-/// The templates that the deploy file names give settings without a fault.
-TEST(DirectSettings, AcceptsTheTemplatesOnceFilled) {
+/// The settings templates that the deploy file refers to must give valid
+/// settings.
+TEST(DirectSettings, AcceptsFilledTemplates) {
   for (const char *Name : {"entry", "agent"}) {
     const std::string Text = filled(std::string(DECKPITCH_SOURCE_DIR) +
                                     "/platform/" + Name + ".settings.json");
--- a/test/events-test.cc
+++ b/test/events-test.cc
@@ -32,7 +32,7 @@
   return "";
 }
 
-/// "number name severity" of each catalogue entry.
+/// Returns "number name severity" of each catalogue entry.
 std::multiset<std::string> catalogueRows() {
   std::multiset<std::string> Rows;
   for (const EventInfo &Each : EventCatalogue)
@@ -51,7 +51,7 @@
   return Out;
 }
 
-TEST(Events, EveryRowOfTheDocumentIsInTheCatalogueAndBack) {
+TEST(Events, DocumentAndCatalogueHaveSameRows) {
   const std::string Document = readFile(DECKPITCH_SOURCE_DIR "/docs/EVENTS.md");
   const std::regex Row(R"(\| (\d+) \| (\w+) \| (\w+) \| [^|\n]+ \|)");
   EXPECT_EQ(matchesOf(Document, Row, "$1 $2 $3"), catalogueRows());
--- a/test/parsing-test.cc
+++ b/test/parsing-test.cc
@@ -38,7 +38,7 @@
 struct BadInput {
   Form m_Form;
   std::string m_Json;
-  std::vector<std::string> m_Faults; ///< each must be named
+  std::vector<std::string> m_Faults; ///< parts of the expected message
 };
 
 void PrintTo(const BadInput &Input, std::ostream *Out) {
@@ -47,7 +47,7 @@
 
 class Parsing : public testing::TestWithParam<BadInput> {};
 
-TEST_P(Parsing, NamesEveryFault) {
+TEST_P(Parsing, ReportsAllFaults) {
   const std::string Found = faultOf(GetParam().m_Form, GetParam().m_Json);
   EXPECT_NE(Found, "");
   for (const std::string &Each : GetParam().m_Faults)
@@ -133,7 +133,7 @@
                             Hex + R"(", "chunks": ["zz", 4]})",
                         {"chunks[0]: found \"zz\"", "chunks[1]: found 4"}}));
 
-TEST(Parsing, WhatIsFormattedParsesToTheSame) {
+TEST(Parsing, FormattedValuesParseToSameValues) {
   const Pool Engines{.m_Id = {"p"},
                      .m_Model = "m",
                      .m_Adapter = "a",
--- a/test/settings-test.cc
+++ b/test/settings-test.cc
@@ -20,7 +20,7 @@
             "");
 }
 
-TEST(Settings, ReportsEveryFaultAtOnce) {
+TEST(Settings, ReportsAllFaults) {
   const std::string Found = problemsOf(
       R"({"role": "entree", "instance": "", "treads": 3, "threads": 0})");
   for (const char *Part :
@@ -31,16 +31,16 @@
                                                    << Found;
 }
 
-TEST(Settings, NamesTheLineOfASyntaxError) {
+TEST(Settings, ReportsLineOfSyntaxError) {
   EXPECT_NE(problemsOf("{\n  \"role\": \"entry\"\n  \"instance\": 1\n}")
                 .find("line 3"),
             std::string::npos);
 }
 
 struct KeyCase {
-  const char *m_Path; ///< of the key, its sections joined by dots
+  const char *m_Path; ///< the key and its sections, joined by dots
   const char *m_Value;
-  const char *m_Expected; ///< start of what the fault says is expected
+  const char *m_Expected; ///< start of the expectation in the message
 };
 
 void PrintTo(const KeyCase &Case, std::ostream *Out) {
@@ -57,7 +57,7 @@
 
 class SettingsKeys : public testing::TestWithParam<KeyCase> {};
 
-TEST_P(SettingsKeys, NamesKeyValueAndExpectation) {
+TEST_P(SettingsKeys, ReportsKeyValueAndExpectation) {
   const KeyCase &Case = GetParam();
   boost::json::object Document = goodAgent();
   ASSERT_EQ(problemsOf(serialize(Document)), "");
--- a/test/snapshot-test.cc
+++ b/test/snapshot-test.cc
@@ -14,7 +14,7 @@
   std::uint64_t m_Second = 0;
 };
 
-TEST(Snapshot, AReaderSeesTheNewestPublishedValue) {
+TEST(Snapshot, ReaderSeesNewestPublishedValue) {
   SnapshotCell<int> Cell(std::make_shared<const int>(1));
   SnapshotReader<int> Reader(Cell);
   EXPECT_EQ(*Reader.get(), 1);
@@ -23,15 +23,15 @@
   EXPECT_EQ(*Cell.load(), 2);
 }
 
-TEST(Snapshot, AValueLivesAsLongAsSomebodyHoldsIt) {
+TEST(Snapshot, ValueLivesWhileReferenced) {
   SnapshotCell<int> Cell(std::make_shared<const int>(1));
   const std::shared_ptr<const int> Held = Cell.load();
   Cell.publish(std::make_shared<const int>(2));
   EXPECT_EQ(*Held, 1);
 }
 
-// Run under the thread sanitizer as well: whole values, never older ones.
-TEST(Snapshot, ReadersSeeWholeValuesInOrderWhileAWriterPublishes) {
+// Readers must never see torn or older values. Also run under ThreadSanitizer.
+TEST(Snapshot, ConcurrentReadersSeeConsistentValuesInOrder) {
   constexpr std::uint64_t Last = 20'000;
   SnapshotCell<Pair> Cell;
   std::atomic<int> Faults{0};
