--- a/include/deckpitch/admission.h
+++ b/include/deckpitch/admission.h
@@ -100,7 +100,7 @@
   std::uint32_t inFlight() const { return m_InFlight; }
   std::size_t waiting() const { return m_Waiting; }
   /// The estimated time that a request arriving now would wait.
-  Duration expectedWait(Priority Of) const;
+  Duration expectedWait(Priority Level) const;
 
 private:
   struct Waiting {
@@ -128,9 +128,9 @@
   bool admitOne(TimePoint Now);
   void expire(TimePoint Now);
   bool evictFor(const AdmissionRequest &Request);
-  void refuse(AdmissionId Id, Priority Of);
+  void refuse(AdmissionId Id, Priority Level);
   void updateCompletionRate(TimePoint Now);
-  int effectivePriority(const Waiting &Of, std::size_t GivenClass,
+  int effectivePriority(const Waiting &Request, std::size_t GivenClass,
                         TimePoint Now) const;
 
   AdmissionSettings m_Settings;
--- a/include/deckpitch/request-fingerprint.h
+++ b/include/deckpitch/request-fingerprint.h
@@ -26,7 +26,7 @@
                           const RequestFingerprint &) = default;
 };
 
-RequestFingerprint fingerprintOf(const RequestParts &Of);
+RequestFingerprint fingerprintOf(const RequestParts &Parts);
 /// Formats a fingerprint for log lines as 32 hexadecimal digits.
 std::string textOf(const RequestFingerprint &Value);
 
--- a/src/kernel/admission.cc
+++ b/src/kernel/admission.cc
@@ -119,9 +119,10 @@
   }
 }
 
-int AdmissionQueue::effectivePriority(const Waiting &Of, std::size_t GivenClass,
+int AdmissionQueue::effectivePriority(const Waiting &Request,
+                                      std::size_t GivenClass,
                                       TimePoint Now) const {
-  const auto Steps = (Now - Of.m_Since) / m_Settings.m_PromotionInterval;
+  const auto Steps = (Now - Request.m_Since) / m_Settings.m_PromotionInterval;
   return std::max(0, static_cast<int>(GivenClass) - static_cast<int>(Steps));
 }
 
@@ -196,10 +197,10 @@
   for (auto &[Name, Each] : m_Organisations) {
     for (std::size_t Class = 0; Class < PriorityCount; ++Class) {
       const auto Erased =
-          std::erase_if(Each.m_Queues[Class], [&](const Waiting &Of) {
-            if (Of.m_Request.m_Deadline > Now)
+          std::erase_if(Each.m_Queues[Class], [&](const Waiting &Request) {
+            if (Request.m_Request.m_Deadline > Now)
               return false;
-            refuse(Of.m_Request.m_Id, Of.m_Request.m_Priority);
+            refuse(Request.m_Request.m_Id, Request.m_Request.m_Priority);
             return true;
           });
       m_WaitingByPriority[Class] -= static_cast<std::uint32_t>(Erased);
@@ -212,8 +213,8 @@
   for (auto &[Name, Each] : m_Organisations) {
     for (std::size_t Class = 0; Class < PriorityCount; ++Class) {
       const auto Erased =
-          std::erase_if(Each.m_Queues[Class], [&](const Waiting &Of) {
-            return Of.m_Request.m_Id == Id;
+          std::erase_if(Each.m_Queues[Class], [&](const Waiting &Request) {
+            return Request.m_Request.m_Id == Id;
           });
       m_WaitingByPriority[Class] -= static_cast<std::uint32_t>(Erased);
       m_Waiting -= Erased;
@@ -221,19 +222,19 @@
   }
 }
 
-Duration AdmissionQueue::expectedWait(Priority Of) const {
+Duration AdmissionQueue::expectedWait(Priority Level) const {
   if (m_CompletionsPerSecond <= 0)
     return Duration::zero();
   std::uint32_t Ahead = 0;
-  for (std::size_t Class = 0; Class <= static_cast<std::size_t>(Of); ++Class)
+  for (std::size_t Class = 0; Class <= static_cast<std::size_t>(Level); ++Class)
     Ahead += m_WaitingByPriority[Class];
   return std::chrono::duration_cast<Duration>(
       std::chrono::duration<double>(Ahead / m_CompletionsPerSecond));
 }
 
-void AdmissionQueue::refuse(AdmissionId Id, Priority Of) {
+void AdmissionQueue::refuse(AdmissionId Id, Priority Level) {
   const Duration Wait =
-      std::clamp<Duration>(expectedWait(Of), MinRetryAfter, MaxRetryAfter);
+      std::clamp<Duration>(expectedWait(Level), MinRetryAfter, MaxRetryAfter);
   m_Decisions.push_back({Id, false, Wait});
 }
 
--- a/src/kernel/harmful-requests.cc
+++ b/src/kernel/harmful-requests.cc
@@ -31,8 +31,8 @@
 }
 
 /// Orders suspects for eviction (lowest first) and sending (highest first).
-template <typename Suspect> auto rankOf(const Suspect &Of) {
-  return std::pair(Of.count(), Of.m_Changed);
+template <typename Suspect> auto rankOf(const Suspect &Value) {
+  return std::pair(Value.count(), Value.m_Changed);
 }
 
 } // namespace
@@ -94,10 +94,10 @@
 /// Drops a cleared loss or else one that does not affect the count; the oldest
 /// if there are several.
 void HarmfulRequests::Suspect::dropLeastRelevant() {
-  const auto Rank = [this](const InstanceLoss &Of) {
+  const auto Rank = [this](const InstanceLoss &Loss) {
     Suspect Without = *this;
-    std::erase(Without.m_Losses, Of);
-    return std::tuple(!Of.m_IsCleared, Without.count() < count(), Of.m_At);
+    std::erase(Without.m_Losses, Loss);
+    return std::tuple(!Loss.m_IsCleared, Without.count() < count(), Loss.m_At);
   };
   m_Losses.erase(
       std::min_element(m_Losses.begin(), m_Losses.end(),
--- a/src/kernel/request-fingerprint.cc
+++ b/src/kernel/request-fingerprint.cc
@@ -15,14 +15,15 @@
 
 } // namespace
 
-RequestFingerprint fingerprintOf(const RequestParts &Of) {
+RequestFingerprint fingerprintOf(const RequestParts &Parts) {
   // Hashes each part separately, so that moving text across the boundary of two
   // parts changes the result.
-  const std::array<XXH128_hash_t, 5> Parts{
-      hashOf(Of.m_Organisation), hashOf(Of.m_Host), hashOf(Of.m_Method),
-      hashOf(Of.m_Target), hashOf(Of.m_Body)};
-  const XXH128_hash_t Whole = XXH3_128bits(Parts.data(), sizeof Parts);
-  return {Whole.high64, Whole.low64};
+  const std::array<XXH128_hash_t, 5> PartHashes{
+      hashOf(Parts.m_Organisation), hashOf(Parts.m_Host),
+      hashOf(Parts.m_Method), hashOf(Parts.m_Target), hashOf(Parts.m_Body)};
+  const XXH128_hash_t Combined =
+      XXH3_128bits(PartHashes.data(), sizeof PartHashes);
+  return {Combined.high64, Combined.low64};
 }
 
 std::string textOf(const RequestFingerprint &Value) {
--- a/test/admission-test.cc
+++ b/test/admission-test.cc
@@ -15,9 +15,9 @@
 constexpr TimePoint Start{1h};
 
 AdmissionRequest request(AdmissionId Id, const std::string &Organisation,
-                         Priority Of = Priority::Normal,
+                         Priority Level = Priority::Normal,
                          TimePoint Deadline = Start + 1h) {
-  return {Id, {Organisation}, Of, Deadline};
+  return {Id, {Organisation}, Level, Deadline};
 }
 
 std::vector<AdmissionId> admitted(AdmissionQueue &Queue) {
@@ -68,25 +68,25 @@
   AdmissionQueue Queue({.m_QueueLimit = 1'000});
   Queue.setShare({"large"}, 3, 1'000);
   Queue.setShare({"small"}, 1, 1'000);
-  std::map<AdmissionId, std::string> Of;
+  std::map<AdmissionId, std::string> OrganisationOf;
   AdmissionId Next = 1;
   for (int I = 0; I < 200; ++I)
     for (const char *Name : {"large", "small"}) {
-      Of[Next] = Name;
+      OrganisationOf[Next] = Name;
       Queue.arrive(request(Next++, Name), 1, Start);
     }
   std::map<std::string, int> Served;
-  std::string Last = Of[admitted(Queue).at(0)];
+  std::string Last = OrganisationOf[admitted(Queue).at(0)];
   for (int I = 1; I <= 160; ++I) {
     Queue.leave({Last}, 1, Start + I * 10ms);
-    Last = Of[admitted(Queue).at(0)];
+    Last = OrganisationOf[admitted(Queue).at(0)];
     ++Served[Last];
   }
   EXPECT_NEAR(Served["large"], 120, 2);
   EXPECT_NEAR(Served["small"], 40, 2);
   for (int I = 0; I < 200; ++I) {
     Queue.leave({Last}, 1, Start + 2s + I * 10ms);
-    Last = Of[admitted(Queue).at(0)];
+    Last = OrganisationOf[admitted(Queue).at(0)];
     ++Served[Last];
   }
   EXPECT_EQ(Served["large"] + Served["small"], 360);
@@ -98,7 +98,8 @@
   // organisation keep arriving.
   for (const std::string Other : {"a", "b"}) {
     AdmissionQueue Queue({.m_PromotionInterval = 2s});
-    std::map<AdmissionId, std::string> Of{{1, "a"}, {2, "a"}, {3, Other}};
+    std::map<AdmissionId, std::string> OrganisationOf{
+        {1, "a"}, {2, "a"}, {3, Other}};
     Queue.arrive(request(1, "a"), 1, Start);
     Queue.arrive(request(2, "a", Priority::Low), 1, Start);
     Queue.arrive(request(3, Other, Priority::Urgent), 1, Start);
@@ -111,10 +112,10 @@
     for (int Second = 2; Second < 20 && !LowAt; ++Second) {
       const TimePoint Now = Start + Second * 1s;
       for (int I = 0; I < 2; ++I) {
-        Of[Next] = Other;
+        OrganisationOf[Next] = Other;
         Queue.arrive(request(Next++, Other, Priority::Urgent), 1, Now);
       }
-      Queue.leave({Of[Running]}, 1, Now);
+      Queue.leave({OrganisationOf[Running]}, 1, Now);
       Running = admitted(Queue).at(0);
       if (Running == 2)
         LowAt = Second;
--- a/test/declaration-store-test.cc
+++ b/test/declaration-store-test.cc
@@ -44,29 +44,30 @@
 };
 
 const OldInput OldInputs[] = {
-    {"StaleList", [](auto &Of) { listAll(Of, 5, {pool("chat", 5, "old")}); }},
-    {"StaleEmptyList", [](auto &Of) { listAll(Of, 5, {}); }},
-    {"OldEvent", [](auto &Of) { Of.applyEvent(pool("chat", 5, "old")); }},
-    {"OldDeletion", [](auto &Of) { Of.applyEvent(deleted("chat", 5)); }},
+    {"StaleList",
+     [](auto &Store) { listAll(Store, 5, {pool("chat", 5, "old")}); }},
+    {"StaleEmptyList", [](auto &Store) { listAll(Store, 5, {}); }},
+    {"OldEvent", [](auto &Store) { Store.applyEvent(pool("chat", 5, "old")); }},
+    {"OldDeletion", [](auto &Store) { Store.applyEvent(deleted("chat", 5)); }},
     {"RepeatedEvents",
-     [](auto &Of) {
+     [](auto &Store) {
        for (std::uint64_t At : {7, 5, 8, 8, 6})
-         Of.applyEvent(pool("chat", At, "old"));
+         Store.applyEvent(pool("chat", At, "old"));
      }},
     {"WholeOfOldPeer",
-     [](auto &Of) {
-       Of.applyUpdate({{}, {5}, true, 1, {pool("chat", 5, "old")}});
+     [](auto &Store) {
+       Store.applyUpdate({{}, {5}, true, 1, {pool("chat", 5, "old")}});
      }},
     {"WholeOfEmptyPeer",
-     [](auto &Of) {
-       Of.applyUpdate({{}, {}, true, 0, {}});
+     [](auto &Store) {
+       Store.applyUpdate({{}, {}, true, 0, {}});
      }},
     {"ChangesOfOldPeer",
-     [](auto &Of) {
-       Of.applyUpdate({{4}, {5}, false, 1, {pool("chat", 5, "old")}});
+     [](auto &Store) {
+       Store.applyUpdate({{4}, {5}, false, 1, {pool("chat", 5, "old")}});
      }},
     {"PutBeforeTheDeletion",
-     [](auto &Of) { Of.applyEvent(pool("gone", 6, "old")); }},
+     [](auto &Store) { Store.applyEvent(pool("gone", 6, "old")); }},
 };
 
 class NeverReverts : public testing::TestWithParam<OldInput> {};
