--- a/include/deckpitch/declaration-store.h
+++ b/include/deckpitch/declaration-store.h
@@ -20,7 +20,7 @@
 inline constexpr std::string_view AssignmentsKind = "assignments";
 const std::vector<std::string> &replicatedKinds();
 
-/// Entry version of one object; a deletion is a version too.
+/// A version of an object; a deletion is a version too.
 struct DeclaredObject {
   std::string m_Kind;
   std::string m_Name;
@@ -110,7 +110,7 @@
 
   std::map<Key, DeclaredObject> m_Objects;
   std::map<std::string, Revision> m_Complete;
-  Revision m_DroppedUpTo; ///< deletions up to here may be dropped
+  Revision m_DroppedUpTo; ///< deletions up to here may have been dropped
   std::uint64_t m_Digest = 0;
   Revision m_Newest;
   std::size_t m_Unreadable = 0;
--- a/include/deckpitch/harmful-requests.h
+++ b/include/deckpitch/harmful-requests.h
@@ -73,8 +73,8 @@
 
   /// Updates to send to other processes now: recent changes, repeated in case a
   /// message is lost, and all refused requests, for processes that have just
-  /// started. Returns at most Most, refused requests first.
-  std::vector<SuspectRequest> toTell(std::size_t Most, TimePoint Now) const;
+  /// started. Returns at most MaxCount, refused requests first.
+  std::vector<SuspectRequest> toTell(std::size_t MaxCount, TimePoint Now) const;
   /// Removes expired losses; to be called periodically.
   void forgetOld(TimePoint Now);
   std::size_t size() const { return m_Suspects.size(); }
--- a/src/kernel/declaration-store.cc
+++ b/src/kernel/declaration-store.cc
@@ -114,10 +114,10 @@
 Revision DeclarationStore::revision() const {
   if (!filled())
     return {};
-  const auto Least = std::min_element(
+  const auto Lowest = std::min_element(
       m_Complete.begin(), m_Complete.end(),
       [](const auto &A, const auto &B) { return A.second < B.second; });
-  return Least->second;
+  return Lowest->second;
 }
 
 DeclarationStore::Effect
--- a/src/kernel/harmful-requests.cc
+++ b/src/kernel/harmful-requests.cc
@@ -189,13 +189,13 @@
   return !WasRefused && Known.refusedUntil(Now);
 }
 
-std::vector<SuspectRequest> HarmfulRequests::toTell(std::size_t Most,
+std::vector<SuspectRequest> HarmfulRequests::toTell(std::size_t MaxCount,
                                                     TimePoint Now) const {
   std::vector<const std::pair<const RequestFingerprint, Suspect> *> Due;
   for (const auto &Each : m_Suspects)
     if (Each.second.isDueToSend(Now))
       Due.push_back(&Each);
-  const std::size_t Count = std::min(Most, Due.size());
+  const std::size_t Count = std::min(MaxCount, Due.size());
   std::partial_sort(Due.begin(), Due.begin() + static_cast<long>(Count),
                     Due.end(), [](const auto *One, const auto *Other) {
                       return rankOf(One->second) > rankOf(Other->second);
--- a/test/retry-window-test.cc
+++ b/test/retry-window-test.cc
@@ -40,13 +40,13 @@
 
   /// Runs the load for a time and records in excess() by how many retries any
   /// window exceeded the limit.
-  void run(Duration For, int RequestsPerTick, int MostRetries) {
+  void run(Duration For, int RequestsPerTick, int MaxRetries) {
     constexpr Duration Tick = 10ms;
     for (const TimePoint End = m_Now + For; m_Now < End; m_Now += Tick) {
       for (std::size_t I = 0; I < size(); ++I)
         m_Windows[I]->setEntries(m_Known[I], m_Now);
       for (int Each = 0; Each < RequestsPerTick; ++Each)
-        request(m_Random() % size(), MostRetries);
+        request(m_Random() % size(), MaxRetries);
       forget();
       const double Allowed =
           All.m_Share * static_cast<double>(m_Requests.size()) + All.m_Slack;
@@ -58,10 +58,10 @@
   std::size_t retriesInWindow() const { return m_Retries.size(); }
 
 private:
-  void request(std::size_t At, int MostRetries) {
+  void request(std::size_t At, int MaxRetries) {
     m_Windows[At]->arrived(m_Now);
     m_Requests.push_back(m_Now);
-    for (int I = 0; I < MostRetries && m_Windows[At]->tryRetry(m_Now); ++I)
+    for (int I = 0; I < MaxRetries && m_Windows[At]->tryRetry(m_Now); ++I)
       m_Retries.push_back(m_Now);
   }
   void forget() {
