--- a/src/direct/agent.cc
+++ b/src/direct/agent.cc
@@ -113,7 +113,7 @@
   void onLink(const wire::LinkMessage &Message, const std::string &From);
   wire::InstanceState state() const;
   bool takesRequests() const {
-    return m_Report.m_TakesRequests && !m_Weights.isOrdered();
+    return m_Report.m_TakesRequests && !m_Weights.isLoadPending();
   }
   /// When the instance is to refuse what has not begun, as far as is known.
   TimePoint closes() const;
@@ -252,7 +252,7 @@
 }
 
 TimePoint Agent::closes() const {
-  const auto SwapIn = m_Weights.swapIn(m_Report, now());
+  const auto SwapIn = m_Weights.timeUntilSwap(m_Report, now());
   return SwapIn ? now() + *SwapIn : TimePoint::max();
 }
 
@@ -323,14 +323,14 @@
   wire::InstanceState Out;
   Out.set_address(m_InstanceAddress);
   Out.set_start_ms(m_Report.m_Start);
-  Out.set_loading(m_Weights.orderedVersion());
+  Out.set_loading(m_Weights.pendingVersion());
   Out.set_running(m_Report.m_Running);
   // With what was promised a place and is still on its way.
   Out.set_waiting(std::max(m_Places.held(), m_Report.m_Running) -
                   m_Report.m_Running);
   Out.set_takes_requests(takesRequests());
   Out.set_has_sound_link(m_Weights.hasSoundLink());
-  if (const auto SwapIn = m_Weights.swapIn(m_Report, now()))
+  if (const auto SwapIn = m_Weights.timeUntilSwap(m_Report, now()))
     Out.set_swap_in_ms(msOf(*SwapIn));
   for (const HeldWeights &Each : m_Report.m_Weights)
     write(Each, *Out.add_weights());
--- a/src/direct/staging-cache.cc
+++ b/src/direct/staging-cache.cc
@@ -16,17 +16,17 @@
 
 namespace {
 
-/// Writes to the instance at once: one travels while another is stored.
-constexpr std::size_t MostWriters = 3;
+/// Concurrent writes to the instance: one is sent while another is stored.
+constexpr std::size_t MaxWriters = 3;
 constexpr Duration WriteWait = std::chrono::milliseconds(5);
-/// From the first look at a chunk to the order: half of the time for which the
-/// platform excuses a chunk that has turned bad.
-constexpr Duration LookLifetime = std::chrono::milliseconds(1'500);
-/// Looks before the order is left to a later step: one that writes again, one
-/// that sees what became of it, and one in case the machine was slow.
-constexpr int MostLooks = 3;
-/// A call that had no answer may still be carried out for so long after it was
-/// given up: its bytes may wait behind others, or the instance stand still.
+/// Longest time from the first read of a verification to the load order: half
+/// of the time for which the platform tolerates a chunk that became corrupt.
+constexpr Duration VerificationLifetime = std::chrono::milliseconds(1'500);
+/// Passes before the order is left to a later step: one that rewrites, one that
+/// verifies the result, and one in case the instance was slow.
+constexpr int MaxPasses = 3;
+/// A call that timed out may still be executed for this long: its bytes may be
+/// queued, or the instance may be paused.
 constexpr Duration UnansweredLifetime = std::chrono::seconds(3);
 
 Digest digestOfText(const std::string &Bytes) {
@@ -49,15 +49,15 @@
 }
 
 void StagingCache::writeBehind(const WeightsId &Weights) {
-  if (m_Written == Weights || isHeldForOther(Weights))
+  if (m_WriteBehindWeights == Weights || isReservedForOther(Weights))
     return;
-  m_Written = Weights;
-  m_Unwritten.clear();
+  m_WriteBehindWeights = Weights;
+  m_WriteQueue.clear();
   const auto Kept = m_Chunks.find(Weights);
   if (Kept == m_Chunks.end())
     return;
   for (const auto &[Index, Bytes] : Kept->second)
-    m_Unwritten.push_back(Index);
+    m_WriteQueue.push_back(Index);
   startWriters();
 }
 
@@ -71,39 +71,39 @@
 }
 
 asio::awaitable<Outcome<EngineStatus>> StagingCache::status() {
-  return m_Behind.status();
+  return m_Backing.status();
 }
 
 asio::awaitable<Outcome<bool>>
 StagingCache::stage(WeightsId Weights, std::uint32_t Index, std::string Bytes) {
   const auto Kept = m_Chunks.find(Weights);
   if (Kept == m_Chunks.end())
-    co_return co_await m_Behind.stage(Weights, Index, std::move(Bytes));
+    co_return co_await m_Backing.stage(Weights, Index, std::move(Bytes));
   Kept->second[Index] = std::move(Bytes);
-  if (Weights == m_Written) {
-    m_Unwritten.push_back(Index);
+  if (Weights == m_WriteBehindWeights) {
+    m_WriteQueue.push_back(Index);
     startWriters();
   }
   co_return true;
 }
 
 void StagingCache::startWriters() {
-  while (m_Writers < std::min(MostWriters, m_Unwritten.size())) {
+  while (m_Writers < std::min(MaxWriters, m_WriteQueue.size())) {
     ++m_Writers;
     asio::co_spawn(m_Io, write(), asio::detached);
   }
 }
 
 asio::awaitable<void> StagingCache::write() {
-  while (!m_Unwritten.empty()) {
-    const WeightsId Weights = m_Written;
-    const std::uint32_t Index = m_Unwritten.front();
-    m_Unwritten.pop_front();
+  while (!m_WriteQueue.empty()) {
+    const WeightsId Weights = m_WriteBehindWeights;
+    const std::uint32_t Index = m_WriteQueue.front();
+    m_WriteQueue.pop_front();
     const std::string *Kept = find(Weights, Index);
     if (!Kept)
       continue;
     const std::string Bytes = *Kept;
-    const auto Stored = co_await m_Behind.stage(Weights, Index, Bytes);
+    const auto Stored = co_await m_Backing.stage(Weights, Index, Bytes);
     if (Stored)
       continue;
     net::log(Event::StagingFailed, {{"weights", Weights.m_Text},
@@ -120,7 +120,7 @@
 StagingCache::staged(WeightsId Weights, std::uint32_t Index) {
   if (const std::string *Found = find(Weights, Index))
     co_return *Found;
-  auto Bytes = co_await m_Behind.staged(Weights, Index);
+  auto Bytes = co_await m_Backing.staged(Weights, Index);
   const auto Kept = m_Chunks.find(Weights);
   if (Bytes && Kept != m_Chunks.end())
     Kept->second.emplace(Index, *Bytes);
@@ -128,53 +128,56 @@
 }
 
 asio::awaitable<Outcome<bool>> StagingCache::dropStaging(WeightsId Weights) {
-  return m_Behind.dropStaging(std::move(Weights));
+  return m_Backing.dropStaging(std::move(Weights));
 }
 
 asio::awaitable<Outcome<bool>> StagingCache::load(Manifest Wanted,
                                                   FencingNumber Fence) {
-  return m_Behind.load(std::move(Wanted), Fence);
+  return m_Backing.load(std::move(Wanted), Fence);
 }
 
 asio::awaitable<Outcome<bool>> StagingCache::activate(WeightsId Weights,
                                                       FencingNumber Fence) {
-  return m_Behind.activate(std::move(Weights), Fence);
+  return m_Backing.activate(std::move(Weights), Fence);
 }
 
 asio::awaitable<Outcome<bool>> StagingCache::unload(WeightsId Weights,
                                                     FencingNumber Fence) {
-  return m_Behind.unload(std::move(Weights), Fence);
+  return m_Backing.unload(std::move(Weights), Fence);
 }
 
-asio::awaitable<StagedState> StagingCache::repair(const Manifest &Wanted) {
+asio::awaitable<StagedState>
+StagingCache::verifyAndRepair(const Manifest &Wanted) {
   while (m_Writers > 0)
     co_await daemon::pauseFor(WriteWait);
   Duration Took{};
   std::uint32_t Rewritten = 0;
-  for (int Look = 0; Look < MostLooks && !mayChange(Wanted); ++Look) {
+  for (int Pass = 0; Pass < MaxPasses && !mayStagingChange(Wanted); ++Pass) {
     const TimePoint Begin = m_Now();
-    const std::optional<std::uint32_t> Wrong = co_await rewriteWrong(Wanted);
-    if (!Wrong)
-      co_return StagedState::Lost;
+    const std::optional<std::uint32_t> Corrupt =
+        co_await rewriteCorrupt(Wanted);
+    if (!Corrupt)
+      co_return StagedState::Unrepairable;
     Took = m_Now() - Begin;
-    Rewritten = *Wrong;
-    // Only what was read proves what lies there: a write may be answered and
+    Rewritten = *Corrupt;
+    // Only a read proves what staging holds: a write may be acknowledged and
     // not be stored.
-    if (Rewritten == 0 && Took <= LookLifetime)
-      co_return StagedState::Right;
+    if (Rewritten == 0 && Took <= VerificationLifetime)
+      co_return StagedState::Verified;
   }
   net::log(Event::StagingUnsure,
            {{"weights", Wanted.m_Weights.m_Text},
             {"tookMs", msOf(Took)},
             {"rewritten", std::uint64_t{Rewritten}},
             {"unansweredWrites", std::uint64_t{m_UnansweredWrites.size()}},
-            {"heldFor", isHeldForOther(Wanted.m_Weights) ? m_Ordered.m_Text
-                                                         : std::string()}});
-  co_return StagedState::Unsure;
+            {"heldFor", isReservedForOther(Wanted.m_Weights)
+                            ? m_UnansweredOrder.m_Text
+                            : std::string()}});
+  co_return StagedState::Uncertain;
 }
 
-/// Whether something that is on its way may make staging differ from this.
-bool StagingCache::mayChange(const Manifest &Wanted) {
+/// Whether a call in flight may still make staging differ from the manifest.
+bool StagingCache::mayStagingChange(const Manifest &Wanted) {
   const TimePoint Now = m_Now();
   std::erase_if(m_UnansweredWrites, [Now](const UnansweredWrite &Each) {
     return Now >= Each.m_Until;
@@ -183,37 +186,39 @@
     return Each.m_Index < Wanted.chunkCount() &&
            Each.m_Content != Wanted.m_Chunks[Each.m_Index];
   };
-  return isHeldForOther(Wanted.m_Weights) ||
+  return isReservedForOther(Wanted.m_Weights) ||
          std::any_of(m_UnansweredWrites.begin(), m_UnansweredWrites.end(),
                      Differs);
 }
 
-void StagingCache::orderUnanswered(const WeightsId &Ordered) {
-  m_Ordered = Ordered;
-  m_OrderedUntil = m_Now() + UnansweredLifetime;
+void StagingCache::noteUnansweredOrder(const WeightsId &Ordered) {
+  m_UnansweredOrder = Ordered;
+  m_UnansweredOrderUntil = m_Now() + UnansweredLifetime;
 }
 
-/// Whether the instance may yet take what lies there as other weights.
-bool StagingCache::isHeldForOther(const WeightsId &Weights) const {
-  return Weights != m_Ordered && m_Now() < m_OrderedUntil;
+/// Whether the instance may still accept a load order for other weights, and
+/// would then load what staging holds as those.
+bool StagingCache::isReservedForOther(const WeightsId &Weights) const {
+  return Weights != m_UnansweredOrder && m_Now() < m_UnansweredOrderUntil;
 }
 
 asio::awaitable<std::optional<std::uint32_t>>
-StagingCache::rewriteWrong(const Manifest &Wanted) {
+StagingCache::rewriteCorrupt(const Manifest &Wanted) {
   std::uint32_t Rewritten = 0;
   for (std::uint32_t Index = 0; Index < Wanted.chunkCount(); ++Index) {
-    const Digest &Right = Wanted.m_Chunks[Index];
-    const auto Staged = co_await m_Behind.staged(Wanted.m_Weights, Index);
+    const Digest &ExpectedDigest = Wanted.m_Chunks[Index];
+    const auto Staged = co_await m_Backing.staged(Wanted.m_Weights, Index);
     if (!Staged && Staged.error().m_Code != ErrorCode::NotFound)
       co_return std::nullopt;
-    if (Staged && matches(Right, *Staged))
+    if (Staged && matches(ExpectedDigest, *Staged))
       continue;
     net::log(Event::StagedChunkSpoilt, {{"weights", Wanted.m_Weights.m_Text},
                                         {"chunk", std::uint64_t{Index}}});
     const std::string *Kept = find(Wanted.m_Weights, Index);
-    if (!Kept || !matches(Right, *Kept))
+    if (!Kept || !matches(ExpectedDigest, *Kept))
       co_return std::nullopt;
-    const auto Stored = co_await m_Behind.stage(Wanted.m_Weights, Index, *Kept);
+    const auto Stored =
+        co_await m_Backing.stage(Wanted.m_Weights, Index, *Kept);
     if (!Stored)
       co_return std::nullopt;
     ++Rewritten;
--- a/src/direct/staging-cache.h
+++ b/src/direct/staging-cache.h
@@ -1,4 +1,4 @@
-// Keeps chunks in memory beside the instance's staging.
+// A write-behind cache of chunks in front of the instance's staging.
 #pragma once
 
 #include "daemon/clock.h"
@@ -15,27 +15,27 @@
 
 namespace deckpitch::direct {
 
-/// What a look at all staged chunks came to.
+/// The result of verifying all staged chunks.
 enum class StagedState {
-  Right, ///< all are as declared, and were looked at just now
-  Lost,  ///< one is missing here too, or staging cannot be read
-  Unsure ///< what lies there may differ from what was looked at
+  Verified,     ///< all matched their digests just now
+  Unrepairable, ///< a chunk is missing in the cache too, or staging fails
+  Uncertain     ///< staging may differ from what was read
 };
 
 /// An engine port in front of another. A verified chunk counts as staged once
-/// it is here, so that it is passed on to peers without waiting for the
+/// it is in the cache, so that it is served to peers without waiting for the
 /// instance. Staging holds one version, so only that one is written behind.
-/// Before an order each staged chunk is compared with its digest: a write may
-/// have failed, or staging gone bad since. The instance takes what lies there
-/// as it accepts the order, so the look must be young then, and nothing on its
-/// way there that could change it.
+/// Before a load order each staged chunk is compared with its digest: a write
+/// may have failed, or staging may have become corrupt. The instance loads what
+/// staging holds when it accepts the order, so the verification must be recent
+/// then, and no write in flight may change what was verified.
 class StagingCache final : public net::Engine {
 public:
   using Clock = std::function<TimePoint()>;
 
-  StagingCache(net::asio::io_context &Io, net::Engine &Behind,
+  StagingCache(net::asio::io_context &Io, net::Engine &Backing,
                Clock Now = daemon::now)
-      : m_Io(Io), m_Behind(Behind), m_Now(std::move(Now)) {}
+      : m_Io(Io), m_Backing(Backing), m_Now(std::move(Now)) {}
 
   net::asio::awaitable<Outcome<EngineStatus>> status() override;
   net::asio::awaitable<Outcome<bool>>
@@ -50,44 +50,44 @@
   net::asio::awaitable<Outcome<bool>> unload(WeightsId Weights,
                                              FencingNumber Fence) override;
 
-  /// Forgets what is not of these weights.
+  /// Drops chunks of all other weights.
   void keepOnly(std::set<WeightsId> Weights);
-  /// From now on chunks of these weights are written to the instance, unless
-  /// an order of others may still be accepted.
+  /// From now on writes chunks of these weights to the instance, unless an
+  /// order to load others may still be accepted.
   void writeBehind(const WeightsId &Weights);
-  /// Writes again each staged chunk that differs from its digest. Where the
-  /// state is right, an order is to be sent at once.
-  net::asio::awaitable<StagedState> repair(const Manifest &Wanted);
-  /// An order to load these had no answer: the instance may accept it later.
-  void orderUnanswered(const WeightsId &Ordered);
+  /// Rewrites each staged chunk that does not match its digest. Verified holds
+  /// for a short time only: send the load order at once.
+  net::asio::awaitable<StagedState> verifyAndRepair(const Manifest &Wanted);
+  /// Records that a load order timed out: the instance may still accept it.
+  void noteUnansweredOrder(const WeightsId &Ordered);
 
 private:
-  /// A write that had no answer, and may be stored later.
+  /// A write that timed out and may still be stored.
   struct UnansweredWrite {
     std::uint32_t m_Index = 0;
     Digest m_Content;
-    TimePoint m_Until; ///< then it is stored, or never is
+    TimePoint m_Until; ///< not stored any more after this
   };
 
-  /// Chunks that were wrong and are written again; nothing where one is lost.
+  /// Number of corrupt chunks that were rewritten; nothing if one could not be.
   net::asio::awaitable<std::optional<std::uint32_t>>
-  rewriteWrong(const Manifest &Wanted);
-  bool mayChange(const Manifest &Wanted);
-  bool isHeldForOther(const WeightsId &Weights) const;
+  rewriteCorrupt(const Manifest &Wanted);
+  bool mayStagingChange(const Manifest &Wanted);
+  bool isReservedForOther(const WeightsId &Weights) const;
   net::asio::awaitable<void> write();
   void startWriters();
   const std::string *find(const WeightsId &Weights, std::uint32_t Index) const;
 
   net::asio::io_context &m_Io;
-  net::Engine &m_Behind;
+  net::Engine &m_Backing;
   Clock m_Now;
   std::map<WeightsId, std::map<std::uint32_t, std::string>> m_Chunks;
-  WeightsId m_Written; ///< whose chunks go to the instance
-  std::deque<std::uint32_t> m_Unwritten;
+  WeightsId m_WriteBehindWeights; ///< weights whose chunks go to the instance
+  std::deque<std::uint32_t> m_WriteQueue;
   std::size_t m_Writers = 0;
   std::vector<UnansweredWrite> m_UnansweredWrites;
-  WeightsId m_Ordered; ///< by an order that had no answer
-  TimePoint m_OrderedUntil{};
+  WeightsId m_UnansweredOrder; ///< named by a load order that timed out
+  TimePoint m_UnansweredOrderUntil{};
 };
 
 } // namespace deckpitch::direct
--- a/src/direct/weights-supply.cc
+++ b/src/direct/weights-supply.cc
@@ -25,35 +25,37 @@
 constexpr auto UseAwaitable = asio::as_tuple(asio::use_awaitable);
 constexpr Duration AcceptRetry = milliseconds(50);
 constexpr Duration ManifestRetry = milliseconds(300);
-/// After an order: the instance's state may not show it yet.
-constexpr Duration OrderRest = milliseconds(700);
-constexpr Duration HelloLimit = std::chrono::seconds(2);
-/// Others that are behind finish an older version within that time; then its
-/// chunks only take memory.
-constexpr Duration FormerLifetime = std::chrono::seconds(5);
-constexpr std::uint64_t FirstVersion = 1; ///< when none is declared
-/// A digest that fits nothing any peer or the origin sends is wrong itself.
-constexpr std::uint64_t CorruptToReread = 6;
-/// A chunk has several holders within a third of that on sound links.
+/// How long the instance's report may not show a load order yet.
+constexpr Duration LoadOrderSettleTime = milliseconds(700);
+constexpr Duration HelloTimeout = std::chrono::seconds(2);
+/// Slower peers finish an older version within this time; after that its chunks
+/// only use memory.
+constexpr Duration PreviousCopyLifetime = std::chrono::seconds(5);
+constexpr std::uint64_t FirstVersion = 1; ///< used when none is declared
+/// After this many corrupt chunks the manifest is read again: digests that
+/// match nothing that any peer or the origin sends are themselves wrong.
+constexpr std::uint64_t MaxCorruptChunks = 6;
+/// On sound links a chunk has several holders within a third of this time.
 constexpr Duration SoleHolderWait = milliseconds(700);
-/// Twice what chunks take on sound links with this many under way. A link of
-/// 1.2 Mbit/s held requests back for 3.5 s behind the chunks asked for at once,
-/// past the bound of the version that they named.
-constexpr Duration ChunkPatience = milliseconds(600);
-/// Offers and chunks under way to peers at once. Some offers are declined, and
-/// the link must not run dry meanwhile; but what is under way lies before the
-/// requests for the instance: with six, 1 in 13 answers of the time of a
-/// copy was late and the copy took 3.4 s, with four 1 in 50 and 3.7 s (20
-/// instances, links of 7.6 Mbit/s).
+/// Twice the time a chunk takes on a sound link with this many in flight. On a
+/// link of 1.2 Mbit/s requests queued for 3.5 s behind the chunks in flight,
+/// past the bound of the version that the requests named.
+constexpr Duration ChunkTimeout = milliseconds(600);
+/// Offers and chunks in flight to peers at once. Some offers are declined, and
+/// the link must not idle meanwhile; but requests for the instance queue behind
+/// what is in flight. With six, 1 in 13 answers during a copy was late and the
+/// copy took 3.4 s; with four, 1 in 50 and 3.7 s (20 instances, links of
+/// 7.6 Mbit/s).
 constexpr std::uint32_t Uploads = 4;
 constexpr std::uint32_t Expected = 4;
-/// Links to far peers beside those to the readers of what is imported.
-constexpr std::size_t NearForEachFar = 4;
-/// About one chunk's time over such a link.
+/// Number of local peers for each remote peer in the order of connecting,
+/// besides the remote peers that read imported chunks.
+constexpr std::size_t LocalPeersPerRemote = 4;
+/// About the time of one chunk over a link of 7.6 Mbit/s.
 constexpr Duration DeclineRest = milliseconds(20);
-/// A copy that has gained nothing for so long logs what it waits for, and again
-/// after as long: over sound links a whole copy takes no longer.
-constexpr Duration WaitTold = std::chrono::seconds(2);
+/// A copy without progress for this long logs what it waits for, and again each
+/// time this passes: over sound links a whole copy takes no longer.
+constexpr Duration StallLogInterval = std::chrono::seconds(2);
 
 std::string ipOf(const std::string &Address) {
   return Address.substr(0, Address.rfind(':'));
@@ -67,32 +69,33 @@
   Out.m_OriginStep = Pacing.m_Step;
   Out.m_OriginPace = Pacing.m_Chunk;
   Out.m_SoleHolderWait = SoleHolderWait;
-  Out.m_ChunkPatience = ChunkPatience;
+  Out.m_ChunkPatience = ChunkTimeout;
   Out.m_Uploads = Uploads;
   Out.m_Expected = Expected;
   Out.m_DeclineRest = DeclineRest;
   return Out;
 }
 
-/// Peers to connect to, in an order of this agent's own, so that a bounded
-/// number of links holds what it needs: first those that read what it imports,
-/// then near ones, and a few far ones in case these fail.
-std::vector<PeerAddress> orderPeers(std::vector<PeerAddress> Near,
-                                    std::vector<PeerAddress> Far,
+/// Peers to connect to, in an order random for each agent. The number of links
+/// is bounded, so the peers most needed come first: those that read the chunks
+/// this data centre imports, then local ones, mixed with a few remote ones in
+/// case the local ones fail.
+std::vector<PeerAddress> orderPeers(std::vector<PeerAddress> Local,
+                                    std::vector<PeerAddress> Remote,
                                     const std::set<InstanceId> &Sources) {
   static std::minstd_rand Random{std::random_device{}()};
-  std::shuffle(Near.begin(), Near.end(), Random);
-  std::shuffle(Far.begin(), Far.end(), Random);
-  auto NextFar = std::stable_partition(
-      Far.begin(), Far.end(),
+  std::shuffle(Local.begin(), Local.end(), Random);
+  std::shuffle(Remote.begin(), Remote.end(), Random);
+  auto NextRemote = std::stable_partition(
+      Remote.begin(), Remote.end(),
       [&](const PeerAddress &Each) { return Sources.contains(Each.m_Id); });
-  std::vector<PeerAddress> Out(Far.begin(), NextFar);
-  for (std::size_t I = 0; I < Near.size(); ++I) {
-    Out.push_back(std::move(Near[I]));
-    if (I % NearForEachFar == 0 && NextFar != Far.end())
-      Out.push_back(*NextFar++);
+  std::vector<PeerAddress> Out(Remote.begin(), NextRemote);
+  for (std::size_t I = 0; I < Local.size(); ++I) {
+    Out.push_back(std::move(Local[I]));
+    if (I % LocalPeersPerRemote == 0 && NextRemote != Remote.end())
+      Out.push_back(*NextRemote++);
   }
-  Out.insert(Out.end(), NextFar, Far.end());
+  Out.insert(Out.end(), NextRemote, Remote.end());
   return Out;
 }
 
@@ -147,7 +150,7 @@
   m_Stopped = true;
   boost::system::error_code Ignored;
   m_Acceptor.close(Ignored);
-  for (Copy *Each : {&m_Current, &m_Former})
+  for (Copy *Each : {&m_Current, &m_Previous})
     if (Each->m_Copy)
       Each->m_Copy->stop();
   m_Transfer.m_Uplink->stop();
@@ -155,14 +158,14 @@
 
 void WeightsSupply::setSource(const WeightsSource &Source) {
   if (Source.m_Origin != m_Source.m_Origin) {
-    // Reads from the one before may still be under way.
+    // Reads from the previous origin may still be in progress.
     if (m_Transfer.m_Origin)
-      m_FormerOrigins.push_back(std::move(m_Transfer.m_Origin));
+      m_RetiredOrigins.push_back(std::move(m_Transfer.m_Origin));
     m_Transfer.m_Origin =
         net::Adapters<net::Origin>::make(m_Http, "pieces://" + Source.m_Origin);
   }
   m_Source = Source;
-  for (const HeardWeights &Each : std::exchange(m_Early, {}))
+  for (const HeardWeights &Each : std::exchange(m_PendingDeclarations, {}))
     want(Each);
 }
 
@@ -172,13 +175,13 @@
     return Each.m_Service.m_Text != m_Options.m_Service;
   });
   if (m_Current.m_Copy)
-    tellCopyOfPeers();
+    updateCopyPeers();
 }
 
 void WeightsSupply::want(const HeardWeights &Heard) {
   const DeclaredWeights &Declared = Heard.m_Declared;
   if (!hasSource())
-    return m_Early.push_back(Heard);
+    return m_PendingDeclarations.push_back(Heard);
   if (Declared.m_Model != m_Source.m_Model ||
       !m_Declared.add(Declared.m_Version, Heard.m_Since))
     return;
@@ -191,37 +194,38 @@
   return m_Current.m_Copy && !m_Current.m_Copy->swarm().complete();
 }
 
-/// The verdict outlives the copy that gave it: the next one shows nothing of
-/// the link until its first chunks have come.
+/// Keeps the verdict of an earlier copy: a new copy gives none until its first
+/// chunks have arrived.
 void WeightsSupply::observeLink(const Swarm &Of) {
   const LinkVerdict Verdict = Of.linkVerdict();
   if (Verdict != LinkVerdict::Unknown)
     m_HasSoundLink = Verdict == LinkVerdict::Sound;
 }
 
-void WeightsSupply::tellCopyOfPeers() {
+void WeightsSupply::updateCopyPeers() {
   std::vector<InstanceId> Ids;
   std::map<DataCentreId, std::vector<InstanceId>> ByDataCentre;
-  std::vector<PeerAddress> NearPeers;
-  std::vector<PeerAddress> FarPeers;
+  std::vector<PeerAddress> LocalPeers;
+  std::vector<PeerAddress> RemotePeers;
   for (const FleetInstance &Each : m_Pool) {
     const std::string Ip = ipOf(Each.m_Address);
-    const bool IsNear = Each.m_DataCentre == m_Options.m_Copy.m_DataCentre;
-    // One that leaves still gives what it has, but others must not wait for
-    // what it would have read: one copy took 9 s instead of 3 s where a tenth
-    // of a pool left as a version was declared and the origin went away.
+    const bool IsLocal = Each.m_DataCentre == m_Options.m_Copy.m_DataCentre;
+    // A leaving instance still serves the chunks it holds, but is assigned no
+    // reads, so that nobody waits for them: one copy took 9 s instead of 3 s
+    // when a tenth of a pool left as a version was declared and the origin
+    // became unreachable.
     if (!Each.m_IsLeaving) {
       Ids.push_back({Ip});
       ByDataCentre[Each.m_DataCentre].push_back({Ip});
     }
-    (IsNear ? NearPeers : FarPeers)
+    (IsLocal ? LocalPeers : RemotePeers)
         .push_back(
             {InstanceId{Ip}, Each.m_DataCentre, Ip + m_Options.m_PeerPort});
   }
   WeightsCopy &Copy = *m_Current.m_Copy;
   Copy.setInstances(std::move(Ids));
   Copy.setDataCentres(ByDataCentre);
-  Copy.setPeers(orderPeers(std::move(NearPeers), std::move(FarPeers),
+  Copy.setPeers(orderPeers(std::move(LocalPeers), std::move(RemotePeers),
                            Copy.swarm().importSources()));
 }
 
@@ -232,10 +236,11 @@
   return swapRank(Members, m_Options.m_Copy.m_Instance.m_Text);
 }
 
-std::optional<Duration> WeightsSupply::swapIn(const InstanceReport &Report,
-                                              TimePoint Now) const {
+std::optional<Duration>
+WeightsSupply::timeUntilSwap(const InstanceReport &Report,
+                             TimePoint Now) const {
   const Copy *Newest = newestComplete();
-  if (!Newest || m_IsOrdered)
+  if (!Newest || m_IsLoadPending)
     return std::nullopt;
   return timeToSwap(stateFor(*Newest, Report), Now);
 }
@@ -260,12 +265,13 @@
   return Out;
 }
 
-/// Logs what a copy waits for that gains nothing, once in each WaitTold.
-void WeightsSupply::tellWait(Copy &Of) {
+/// Logs what a copy without progress waits for, at most once per
+/// StallLogInterval.
+void WeightsSupply::logStall(Copy &Of) {
   const TimePoint Now = now();
-  if (Now - std::max(Of.m_GainedAt, Of.m_ToldAt) < WaitTold)
+  if (Now - std::max(Of.m_ProgressAt, Of.m_StallLoggedAt) < StallLogInterval)
     return;
-  Of.m_ToldAt = Now;
+  Of.m_StallLoggedAt = Now;
   const CopyWait Wait = Of.m_Copy->swarm().waitsFor(Now);
   net::log(Event::CopyWaits,
            {{"weights", Of.m_Copy->manifest().m_Weights.m_Text},
@@ -283,18 +289,18 @@
             {"originRestMs", msOf(Wait.m_OriginRest)}});
 }
 
-/// Notes what has come, and says once when all has.
+/// Records the progress of a copy and logs its completion once.
 void WeightsSupply::observe(Copy &Of) {
   if (!Of.m_Copy)
     return;
   const Swarm &Swarm = Of.m_Copy->swarm();
   observeLink(Swarm);
-  if (Swarm.here().count() != Of.m_Held || Of.m_GainedAt == TimePoint{}) {
+  if (Swarm.here().count() != Of.m_Held || Of.m_ProgressAt == TimePoint{}) {
     Of.m_Held = Swarm.here().count();
-    Of.m_GainedAt = now();
+    Of.m_ProgressAt = now();
   }
   if (!Swarm.complete())
-    return tellWait(Of);
+    return logStall(Of);
   if (Of.m_CompleteAt)
     return;
   Of.m_CompleteAt = now();
@@ -308,58 +314,60 @@
             {"soundLink", std::uint64_t{hasSoundLink()}}});
 }
 
-void WeightsSupply::retireFormer() {
-  const bool IsOld = m_Former.m_Copy && m_Current.m_Copy &&
+void WeightsSupply::retirePrevious() {
+  const bool IsOld = m_Previous.m_Copy && m_Current.m_Copy &&
                      (m_Current.m_CompleteAt ||
-                      now() - *m_Former.m_CompleteAt > FormerLifetime);
+                      now() - *m_Previous.m_CompleteAt > PreviousCopyLifetime);
   if (!IsOld)
     return;
-  m_Former.m_Copy->stop();
-  m_Former = {};
+  m_Previous.m_Copy->stop();
+  m_Previous = {};
   m_Staging->keepOnly({weightsIdOf(m_Current.m_Weights)});
 }
 
 const WeightsSupply::Copy *WeightsSupply::newestComplete() const {
   if (m_Current.m_CompleteAt)
     return &m_Current;
-  return m_Former.m_CompleteAt ? &m_Former : nullptr;
+  return m_Previous.m_CompleteAt ? &m_Previous : nullptr;
 }
 
-/// Whether the copy of the declared version is to begin now.
+/// Whether a copy of the declared version may replace the current one now.
 bool WeightsSupply::mayStartCopy() const {
   if (!m_Current.m_Copy || m_Current.m_CompleteAt)
     return true;
   return !isWorthFinishing({m_Current.m_Held,
                             m_Current.m_Copy->manifest().chunkCount(),
-                            now() - m_Current.m_GainedAt});
+                            now() - m_Current.m_ProgressAt});
 }
 
 asio::awaitable<void> WeightsSupply::step(const InstanceReport &Report) {
   if (!hasSource())
     co_return;
-  // Without any declared version the first one is meant.
+  // Without a declared version the first one is used.
   if (m_Wanted.m_Version == 0)
     want({{m_Source.m_Model, FirstVersion}, now()});
   observe(m_Current);
-  retireFormer();
+  retirePrevious();
   const bool IsWanted = m_Current.m_Copy && m_Current.m_Weights == m_Wanted;
-  const bool IsSpoilt =
+  const bool IsManifestSuspect =
       isCopying() &&
-      m_Current.m_Copy->swarm().counters().m_Corrupt >= CorruptToReread;
-  if (IsSpoilt || (!IsWanted && mayStartCopy()))
+      m_Current.m_Copy->swarm().counters().m_Corrupt >= MaxCorruptChunks;
+  if (IsManifestSuspect || (!IsWanted && mayStartCopy()))
     co_await startCopy();
-  if (m_IsOrdered && now() - m_OrderedAt > OrderRest && Report.m_TakesRequests)
-    m_IsOrdered = false;
+  if (m_IsLoadPending && now() - m_LoadOrderedAt > LoadOrderSettleTime &&
+      Report.m_TakesRequests)
+    m_IsLoadPending = false;
   const Copy *Newest = newestComplete();
-  if (!Newest || m_IsOrdered)
+  if (!Newest || m_IsLoadPending)
     co_return;
   const WeightsStep Next = nextWeightsStep(stateFor(*Newest, Report), now());
-  // Staging holds one version: the newest stays there until it is loaded.
+  // Staging holds one version: the newest complete one stays there until it is
+  // loaded.
   const bool IsLoaded = Next == WeightsStep::Serve;
   m_Staging->writeBehind(
       weightsIdOf((IsLoaded ? m_Current : *Newest).m_Weights));
   if (Next == WeightsStep::Load)
-    co_await order(*Newest);
+    co_await orderLoad(*Newest);
 }
 
 asio::awaitable<void> WeightsSupply::startCopy() {
@@ -373,20 +381,20 @@
              {{"weights", Weights.m_Text}, {"error", Read.error().m_Message}});
     co_return co_await pauseFor(ManifestRetry);
   }
-  // Who else is to hold them decides who reads which chunk from the origin;
-  // an instance that believes itself alone would read a copy of its own.
+  // The list of peers decides who reads which chunk from the origin; an
+  // instance that knows of no peers would read a whole copy itself.
   if (!co_await m_Calls.m_ListInstances())
     co_return co_await pauseFor(ManifestRetry);
   if (m_Current.m_CompleteAt && m_Current.m_Weights != Wanted) {
-    if (m_Former.m_Copy)
-      m_Former.m_Copy->stop();
-    m_Former = std::exchange(m_Current, {});
+    if (m_Previous.m_Copy)
+      m_Previous.m_Copy->stop();
+    m_Previous = std::exchange(m_Current, {});
   } else if (m_Current.m_Copy) {
     m_Current.m_Copy->stop();
   }
   std::set<WeightsId> Kept{Weights};
-  if (m_Former.m_Copy)
-    Kept.insert(weightsIdOf(m_Former.m_Weights));
+  if (m_Previous.m_Copy)
+    Kept.insert(weightsIdOf(m_Previous.m_Weights));
   else
     m_Staging->writeBehind(Weights);
   m_Staging->keepOnly(std::move(Kept));
@@ -406,32 +414,33 @@
   for (std::uint32_t I = 0; I < Chunks; ++I)
     Staged.m_Staging.back().m_Chunks.push_back(I);
   co_await Copy->recover(std::move(Staged), {});
-  // Before the start: who reads what rests on who there is.
-  tellCopyOfPeers();
+  // Before the start: which chunks this agent reads depends on its peers.
+  updateCopyPeers();
   Copy->start();
 }
 
-asio::awaitable<void> WeightsSupply::order(const Copy &Of) {
+asio::awaitable<void> WeightsSupply::orderLoad(const Copy &Of) {
   const std::shared_ptr<WeightsCopy> Copy = Of.m_Copy;
   const DeclaredWeights Ordered = Of.m_Weights;
   const Manifest &Wanted = Copy->manifest();
-  // Checked at the last moment: what the instance takes is what lies there.
-  const StagedState Staged = co_await m_Staging->repair(Wanted);
-  if (Staged == StagedState::Unsure)
+  // Checked immediately before the order: the instance loads whatever staging
+  // holds when it accepts.
+  const StagedState Staged = co_await m_Staging->verifyAndRepair(Wanted);
+  if (Staged == StagedState::Uncertain)
     co_return;
-  if (Staged == StagedState::Lost) {
-    // Starts over with what is still good.
-    (m_Current.m_Copy == Copy ? m_Current : m_Former) = {};
+  if (Staged == StagedState::Unrepairable) {
+    // A later step starts a new copy with the chunks that are still good.
+    (m_Current.m_Copy == Copy ? m_Current : m_Previous) = {};
     Copy->stop();
     co_return;
   }
-  m_IsOrdered = true;
-  m_OrderedAt = now();
-  m_OrderedVersion = Ordered.m_Version;
+  m_IsLoadPending = true;
+  m_LoadOrderedAt = now();
+  m_PendingVersion = Ordered.m_Version;
   m_Calls.m_OnOrder();
   const auto Done = co_await m_Engine.load(Wanted, FencingNumber{});
   if (!Done && Done.error().m_Code == ErrorCode::Timeout)
-    m_Staging->orderUnanswered(Wanted.m_Weights);
+    m_Staging->noteUnansweredOrder(Wanted.m_Weights);
   net::log(Done ? Event::OrderSent : Event::EngineOrderRefused,
            {{"weights", Wanted.m_Weights.m_Text},
             {"error", Done ? "" : Done.error().m_Message}});
@@ -453,7 +462,7 @@
 
 asio::awaitable<void>
 WeightsSupply::greet(std::shared_ptr<BulkConnection> Connection) {
-  asio::steady_timer Limit(m_Io, HelloLimit);
+  asio::steady_timer Limit(m_Io, HelloTimeout);
   Limit.async_wait([Connection](const boost::system::error_code &Ec) {
     if (!Ec)
       Connection->close();
@@ -462,7 +471,7 @@
   Limit.cancel();
   if (First && First->m_Header.has_hello()) {
     const std::string &Weights = First->m_Header.hello().weights();
-    for (const Copy *Each : {&m_Current, &m_Former}) {
+    for (const Copy *Each : {&m_Current, &m_Previous}) {
       const std::shared_ptr<WeightsCopy> Copy = Each->m_Copy;
       if (Copy && weightsIdOf(Each->m_Weights).m_Text == Weights)
         co_return co_await Copy->accept(std::move(Connection),
--- a/src/direct/weights-supply.h
+++ b/src/direct/weights-supply.h
@@ -1,5 +1,5 @@
-// Brings the declared weights to one instance: copies them from other agents
-// and the origin, passes them on, and orders the instance to load them.
+// Supplies one instance with the declared weights: copies them from peer agents
+// and the origin, serves them to peers, and orders the instance to load them.
 #pragma once
 
 #include "daemon/weights-copy.h"
@@ -22,22 +22,23 @@
 namespace deckpitch::direct {
 
 struct SupplyOptions {
-  Settings m_Copy;             ///< as the copying takes them
-  std::string m_Listen;        ///< for other agents, "ip:port"
-  std::string m_PeerPort;      ///< of other agents, ":port"
-  std::string m_Service;       ///< whose instances are peers
-  Duration m_Bound{};          ///< declared to served
+  Settings m_Copy;             ///< settings of WeightsCopy
+  std::string m_Listen;        ///< where peer agents connect, "ip:port"
+  std::string m_PeerPort;      ///< port of peer agents, ":port"
+  std::string m_Service;       ///< service whose instances are peers
+  Duration m_Bound{};          ///< longest time from declared to served
   Incarnation m_Incarnation{}; ///< of this process
 };
 
-/// All on one loop. A version that is complete is passed on for a while after
-/// a newer one is declared, so that those that are behind can finish it.
+/// Runs on a single event loop. A complete version is still served to peers for
+/// a while after a newer one is declared, so that slower peers can finish it.
 class WeightsSupply {
 public:
   struct Callbacks {
-    /// Reads the list of instances anew; false when that is not possible.
+    /// Refreshes the list of instances; false when that fails.
     std::function<boost::asio::awaitable<bool>()> m_ListInstances;
-    /// An order is about to be sent: the instance takes nothing new from now.
+    /// Called just before a load order is sent: the instance accepts no new
+    /// requests from then on.
     std::function<void()> m_OnOrder;
   };
 
@@ -52,33 +53,35 @@
   bool hasSource() const { return !m_Source.m_Model.empty(); }
   void setPool(std::vector<FleetInstance> Pool);
   void want(const HeardWeights &Heard);
-  /// Until the instance is to load weights that are ready, if it still serves
-  /// older ones.
-  std::optional<Duration> swapIn(const InstanceReport &Report,
-                                 TimePoint Now) const;
+  /// Time until the instance is to load weights that are ready; nothing unless
+  /// it still serves older ones.
+  std::optional<Duration> timeUntilSwap(const InstanceReport &Report,
+                                        TimePoint Now) const;
 
-  /// Does what is due, given what the instance said last.
+  /// Performs the steps that are due, given the instance's latest report.
   boost::asio::awaitable<void> step(const InstanceReport &Report);
-  /// An order was sent and does not show yet: the instance takes nothing new.
-  bool isOrdered() const { return m_IsOrdered; }
-  /// The version of that order; 0 without one.
-  std::uint64_t orderedVersion() const {
-    return m_IsOrdered ? m_OrderedVersion : 0;
+  /// Whether a load order was sent that the instance's report does not show
+  /// yet: it accepts no new requests meanwhile.
+  bool isLoadPending() const { return m_IsLoadPending; }
+  /// Version of the pending load order; 0 without one.
+  std::uint64_t pendingVersion() const {
+    return m_IsLoadPending ? m_PendingVersion : 0;
   }
   bool isCopying() const;
-  /// Chunks do not queue on the way to this machine, nor requests behind them.
+  /// Whether chunks do not queue on the link to this instance, nor requests
+  /// behind them.
   bool hasSoundLink() const { return m_HasSoundLink; }
   boost::json::object dump() const;
 
 private:
-  /// A copy, and when it became complete.
+  /// A copy and its progress.
   struct Copy {
     DeclaredWeights m_Weights;
     std::shared_ptr<daemon::WeightsCopy> m_Copy;
     std::optional<TimePoint> m_CompleteAt;
-    std::uint32_t m_Held = 0; ///< chunks when it was last looked at
-    TimePoint m_GainedAt{};   ///< when they last became more
-    TimePoint m_ToldAt{};     ///< when its log last told what it waits for
+    std::uint32_t m_Held = 0;    ///< chunks held at the last check
+    TimePoint m_ProgressAt{};    ///< when a chunk last arrived
+    TimePoint m_StallLoggedAt{}; ///< when a stall was last logged
   };
 
   Result<void> listen();
@@ -86,13 +89,13 @@
   boost::asio::awaitable<void>
   greet(std::shared_ptr<daemon::BulkConnection> Connection);
   boost::asio::awaitable<void> startCopy();
-  boost::asio::awaitable<void> order(const Copy &Of);
+  boost::asio::awaitable<void> orderLoad(const Copy &Of);
   bool mayStartCopy() const;
   void observe(Copy &Of);
-  void tellWait(Copy &Of);
+  void logStall(Copy &Of);
   void observeLink(const Swarm &Of);
-  void retireFormer();
-  void tellCopyOfPeers();
+  void retirePrevious();
+  void updateCopyPeers();
   const Copy *newestComplete() const;
   WeightsState stateFor(const Copy &Of, const InstanceReport &Report) const;
   std::size_t ownRank() const;
@@ -107,17 +110,18 @@
   StagingCache *m_Staging = nullptr; ///< owned by m_Transfer
 
   WeightsSource m_Source;
-  std::vector<HeardWeights> m_Early; ///< told before the source
-  std::vector<std::unique_ptr<net::Origin>> m_FormerOrigins;
+  std::vector<HeardWeights>
+      m_PendingDeclarations; ///< received before the source
+  std::vector<std::unique_ptr<net::Origin>> m_RetiredOrigins;
   DeclaredWeights m_Wanted;
   DeclaredHistory m_Declared;
   Copy m_Current;
-  Copy m_Former; ///< complete, of an older version
+  Copy m_Previous; ///< complete copy of an older version
   std::vector<FleetInstance> m_Pool;
   bool m_HasSoundLink = false;
-  bool m_IsOrdered = false;
-  TimePoint m_OrderedAt{};
-  std::uint64_t m_OrderedVersion = 0;
+  bool m_IsLoadPending = false;
+  TimePoint m_LoadOrderedAt{};
+  std::uint64_t m_PendingVersion = 0;
   bool m_Stopped = false;
 };
 
