--- a/src/direct/agent.cc
+++ b/src/direct/agent.cc
@@ -1,5 +1,5 @@
-// The agent of a fleet, beside one instance: brings it the declared weights
-// and tells the entries what it does.
+// The agent of one instance: supplies it with the declared weights and reports
+// its state to the entries.
 #include "daemon/clock.h"
 #include "deckpitch/place-ledger.h"
 #include "direct/adapter.h"
@@ -28,25 +28,27 @@
 
 namespace {
 
-/// Between two looks at the instance while entries listen: a share of the time
-/// in which one request ends at a full engine.
-constexpr Duration ReportSpan = milliseconds(50);
-/// Without entries that listen, or with an instance that does not answer.
-constexpr Duration IdleReportSpan = milliseconds(400);
-/// What has not changed is told again that often.
-constexpr Duration RepeatSpan = milliseconds(240);
-/// Entries of other data centres send here only what their own cannot take:
-/// they need no fresher count, and all agents tell all entries.
-constexpr Duration FarSpan = milliseconds(200);
-/// An entry that said nothing for so long is not told any more.
+/// Between two reads of the instance's report while entries subscribe: a
+/// fraction of the time between two ends of requests at a full engine.
+constexpr Duration ReportInterval = milliseconds(50);
+/// The same without subscribed entries, or if the instance does not answer.
+constexpr Duration IdleReportInterval = milliseconds(400);
+/// An unchanged state is sent again at this interval.
+constexpr Duration RepeatInterval = milliseconds(240);
+/// Least time between states to an entry of another data centre. Such entries
+/// send here only what their own data centre cannot serve and need no fresher
+/// counts, and all agents send to all entries.
+constexpr Duration RemoteInterval = milliseconds(200);
+/// An entry without a hello for this long is dropped.
 constexpr Duration SubscriptionLifetime = std::chrono::seconds(4);
-constexpr Duration StepSpan = milliseconds(50);
-/// Entries tell where weights come from; a declaration of many routes, read by
-/// every agent at once after a loss of power, kept the link between two regions
-/// full for five seconds. Without entries each agent reads it after this time.
-constexpr Duration DeclarationPatience = milliseconds(3'000);
-constexpr Duration PeersSpan = milliseconds(1'000);
-/// Share of the machine's link for weights; the rest is for requests, whose
+constexpr Duration StepInterval = milliseconds(50);
+/// How long an agent waits for an entry to announce the source of weights
+/// before it reads the declaration itself. A declaration of many routes, read
+/// by all agents at once after a power loss, kept the link between two regions
+/// full for five seconds.
+constexpr Duration DeclarationTimeout = milliseconds(3'000);
+constexpr Duration PeersInterval = milliseconds(1'000);
+/// Share of the instance's link for weights; the rest is for requests, whose
 /// tokens must not queue behind chunks.
 constexpr double LinkShare = 0.95;
 
@@ -59,12 +61,12 @@
   return static_cast<std::uint32_t>(std::max<milliseconds::rep>(Ms, 0));
 }
 
-/// What the copying of weights takes of the settings.
+/// The settings that WeightsCopy uses.
 Settings copySettings(const DirectSettings &From) {
   constexpr double BytesPerSecond = 1e6 / 8;
   Settings Out;
   Out.m_Role = Role::Agent;
-  // Peers find each other by the platform's list, which has addresses only.
+  // Peers know each other from the platform's list, which has addresses only.
   Out.m_Instance.m_Text = ipOf(From.m_Listen.m_Bulk);
   Out.m_DataCentre = From.m_DataCentre;
   Out.m_Weights.m_UploadBytesPerSecond =
@@ -84,12 +86,12 @@
   return Out;
 }
 
-/// An entry that is told of the instance.
-struct Listener {
-  TimePoint m_Heard{};  ///< its last hello
-  bool m_IsNear = true; ///< in the same data centre
-  TimePoint m_ToldAt{};
-  bool m_IsBehind = true; ///< something has changed since
+/// An entry that receives the instance's state.
+struct Subscriber {
+  TimePoint m_LastHello{}; ///< when its last hello arrived
+  bool m_IsNear = true;    ///< whether it is in the same data centre
+  TimePoint m_SentAt{};    ///< when the state was last sent to it
+  bool m_IsBehind = true;  ///< whether the state has changed since
 };
 
 class Agent final : public DirectRole {
@@ -109,16 +111,17 @@
   asio::awaitable<void> readReport();
   asio::awaitable<bool> fetchPeers();
   asio::awaitable<bool> listPeers();
-  std::optional<std::string> someNearEntry();
+  std::optional<std::string> someLocalEntry();
   void onLink(const wire::LinkMessage &Message, const std::string &From);
   wire::InstanceState state() const;
   bool takesRequests() const {
     return m_Report.m_TakesRequests && !m_Weights.isLoadPending();
   }
-  /// When the instance is to refuse what has not begun, as far as is known.
-  TimePoint closes() const;
+  /// When the instance will refuse requests that have not begun, in order to
+  /// load new weights; the maximum if that is not known.
+  TimePoint closesAt() const;
   void answerPlace(const wire::PlaceQuery &Query, const std::string &From);
-  void tellEntries(TimePoint Now);
+  void sendState(TimePoint Now);
   void onDeclaration(const FleetDeclaration &Declaration);
   void setSource(const WeightsSource &Source);
 
@@ -136,8 +139,8 @@
   InstanceReport m_Report;
   bool m_HasReport = false;
   PlaceLedger m_Places;
-  wire::InstanceState m_Told;                ///< last, to any entry
-  std::map<std::string, Listener> m_Entries; ///< by link address
+  wire::InstanceState m_LastSent; ///< the state last sent to any entry
+  std::map<std::string, Subscriber> m_Entries; ///< by link address
   std::minstd_rand m_Random{std::random_device{}()};
 
   bool m_Stopped = false;
@@ -152,7 +155,7 @@
       m_Engine(net::Adapters<net::Engine>::make(m_Http,
                                                 Context.m_Settings.m_Upstream)),
       m_Link(m_Io, Context.m_Incarnation),
-      m_Follower(m_Io, m_Http, *m_Store, m_Adapter, {.m_KeepsLapsed = false},
+      m_Follower(m_Io, m_Http, *m_Store, m_Adapter, {.m_KeepsExpired = false},
                  {[this](const FleetDeclaration &Declaration) {
                     onDeclaration(Declaration);
                   },
@@ -161,14 +164,14 @@
                   },
                   [this](const std::vector<HeardWeights> &Declared) {
                     for (const HeardWeights &Each : Declared)
-                      m_Weights.want(Each);
+                      m_Weights.onDeclared(Each);
                   },
                   nullptr},
                  nullptr),
       m_Weights(m_Io, m_Http, *m_Engine, supplyOptions(Context),
                 {[this] { return listPeers(); },
-                 // Entries send elsewhere from now on.
-                 [this] { tellEntries(now()); }}) {}
+                 // Entries choose other instances from now on.
+                 [this] { sendState(now()); }}) {}
 
 Result<void> Agent::start() {
   BOOST_LEAF_CHECK(m_Weights.start());
@@ -202,58 +205,59 @@
     m_Weights.setSource(Source);
 }
 
-/// Reads the declaration where no entry tells of it, and the list of peers
-/// while a copy is under way.
+/// Reads the declaration if no entry announces the source of weights, and the
+/// list of peers during a copy.
 asio::awaitable<void> Agent::storeLoop() {
-  TimePoint NextDeclaration = now() + DeclarationPatience;
+  TimePoint NextDeclaration = now() + DeclarationTimeout;
   TimePoint NextPeers{};
   while (!m_Stopped) {
     if (!m_Weights.hasSource() && now() >= NextDeclaration) {
-      NextDeclaration = now() + DeclarationPatience;
+      NextDeclaration = now() + DeclarationTimeout;
       co_await m_Follower.readDeclarations();
     }
     if (m_Weights.isCopying() && now() >= NextPeers) {
-      NextPeers = now() + PeersSpan;
-      // Peers that have gone are noticed by their connections.
-      const bool Came = co_await fetchPeers();
-      if (!Came)
+      NextPeers = now() + PeersInterval;
+      // A stale list is enough: peers that have left are detected by their
+      // connections.
+      const bool Succeeded = co_await fetchPeers();
+      if (!Succeeded)
         co_await m_Follower.listOldInstances();
     }
-    co_await pauseFor(StepSpan);
+    co_await pauseFor(StepInterval);
   }
 }
 
-std::optional<std::string> Agent::someNearEntry() {
-  std::vector<std::string> Near;
+std::optional<std::string> Agent::someLocalEntry() {
+  std::vector<std::string> Local;
   for (const auto &[Link, Each] : m_Entries)
     if (Each.m_IsNear)
-      Near.push_back(Link);
-  if (Near.empty())
+      Local.push_back(Link);
+  if (Local.empty())
     return std::nullopt;
-  std::uniform_int_distribution<std::size_t> Any(0, Near.size() - 1);
-  return Near[Any(m_Random)];
+  std::uniform_int_distribution<std::size_t> Any(0, Local.size() - 1);
+  return Local[Any(m_Random)];
 }
 
-/// From an entry of this data centre, so that agents that copy at the same time
-/// do not fill the link between regions with lists.
+/// Fetches the list of peers from a local entry, so that agents that copy at
+/// the same time do not fill the link between regions with lists.
 asio::awaitable<bool> Agent::fetchPeers() {
-  const std::optional<std::string> Entry = someNearEntry();
-  bool Came = false;
+  const std::optional<std::string> Entry = someLocalEntry();
+  bool Succeeded = false;
   if (Entry)
-    Came = co_await m_Follower.fetchInstancesFrom(*Entry);
-  co_return Came;
+    Succeeded = co_await m_Follower.fetchInstancesFrom(*Entry);
+  co_return Succeeded;
 }
 
 asio::awaitable<bool> Agent::listPeers() {
-  bool Came = co_await fetchPeers();
-  if (!Came)
-    Came = co_await m_Follower.listInstances();
-  co_return Came;
+  bool Succeeded = co_await fetchPeers();
+  if (!Succeeded)
+    Succeeded = co_await m_Follower.listInstances();
+  co_return Succeeded;
 }
 
-TimePoint Agent::closes() const {
-  const auto SwapIn = m_Weights.timeUntilSwap(m_Report, now());
-  return SwapIn ? now() + *SwapIn : TimePoint::max();
+TimePoint Agent::closesAt() const {
+  const auto TimeUntilSwap = m_Weights.timeUntilSwap(m_Report, now());
+  return TimeUntilSwap ? now() + *TimeUntilSwap : TimePoint::max();
 }
 
 void Agent::answerPlace(const wire::PlaceQuery &Query,
@@ -262,7 +266,7 @@
   wire::PlaceAnswer &Answer = *Message.mutable_place_answer();
   Answer.set_id(Query.id());
   Answer.set_is_granted(m_HasReport && takesRequests() &&
-                        m_Places.grant(read(Query), now(), closes()));
+                        m_Places.grant(read(Query), now(), closesAt()));
   *Answer.mutable_state() = state();
   m_Link.send(From, std::move(Message));
 }
@@ -273,14 +277,14 @@
   if (!Message.has_hello())
     return;
   const TimePoint Now = now();
-  Listener &Entry = m_Entries[From];
-  Entry.m_Heard = Now;
+  Subscriber &Entry = m_Entries[From];
+  Entry.m_LastHello = Now;
   Entry.m_IsNear =
       Message.hello().data_centre() == m_Context.m_Settings.m_DataCentre.m_Text;
   for (const wire::WeightsSourceState &Each : Message.hello().sources())
     setSource(read(Each));
   for (const wire::DeclaredWeightsState &Each : Message.hello().declared())
-    m_Weights.want(read(Each, Now));
+    m_Weights.onDeclared(read(Each, Now));
 }
 
 asio::awaitable<void> Agent::readReport() {
@@ -310,12 +314,12 @@
     co_await readReport();
     const TimePoint Now = now();
     std::erase_if(m_Entries, [Now](const auto &Each) {
-      return Now - Each.second.m_Heard > SubscriptionLifetime;
+      return Now - Each.second.m_LastHello > SubscriptionLifetime;
     });
     if (m_HasReport)
-      tellEntries(Now);
+      sendState(Now);
     const bool IsUseful = m_HasReport && !m_Entries.empty();
-    co_await pauseFor(IsUseful ? ReportSpan : IdleReportSpan);
+    co_await pauseFor(IsUseful ? ReportInterval : IdleReportInterval);
   }
 }
 
@@ -325,57 +329,60 @@
   Out.set_start_ms(m_Report.m_Start);
   Out.set_loading(m_Weights.pendingVersion());
   Out.set_running(m_Report.m_Running);
-  // With what was promised a place and is still on its way.
+  // Including requests that were granted a slot and have not arrived yet.
   Out.set_waiting(std::max(m_Places.held(), m_Report.m_Running) -
                   m_Report.m_Running);
   Out.set_takes_requests(takesRequests());
   Out.set_has_sound_link(m_Weights.hasSoundLink());
-  if (const auto SwapIn = m_Weights.timeUntilSwap(m_Report, now()))
-    Out.set_swap_in_ms(msOf(*SwapIn));
+  if (const auto TimeUntilSwap = m_Weights.timeUntilSwap(m_Report, now()))
+    Out.set_swap_in_ms(msOf(*TimeUntilSwap));
   for (const HeldWeights &Each : m_Report.m_Weights)
     write(Each, *Out.add_weights());
   return Out;
 }
 
-/// Whether entries may no longer send what they sent before, or may again.
-bool isUrgent(const wire::InstanceState &Now, const wire::InstanceState &Told) {
-  wire::InstanceState Before = Told;
+/// Whether the change affects which requests entries may send here, rather than
+/// only the counts of requests.
+bool isUrgent(const wire::InstanceState &Now,
+              const wire::InstanceState &LastSent) {
+  wire::InstanceState Before = LastSent;
   Before.set_running(Now.running());
   Before.set_waiting(Now.waiting());
-  // Counts down by itself at those that were told.
+  // Receivers count this down themselves.
   if (Before.has_swap_in_ms() && Now.has_swap_in_ms())
     Before.set_swap_in_ms(Now.swap_in_ms());
   return Before.SerializeAsString() != Now.SerializeAsString();
 }
 
-void Agent::tellEntries(TimePoint Now) {
+void Agent::sendState(TimePoint Now) {
   wire::LinkMessage Message;
   *Message.mutable_state() = state();
   const bool IsChanged =
-      Message.state().SerializeAsString() != m_Told.SerializeAsString();
-  const bool IsUrgent = isUrgent(Message.state(), m_Told);
-  m_Told = Message.state();
+      Message.state().SerializeAsString() != m_LastSent.SerializeAsString();
+  const bool IsUrgent = isUrgent(Message.state(), m_LastSent);
+  m_LastSent = Message.state();
   for (auto &[To, Each] : m_Entries) {
     Each.m_IsBehind = Each.m_IsBehind || IsChanged;
-    const Duration Since = Now - Each.m_ToldAt;
-    const Duration Span =
-        Each.m_IsNear || IsUrgent ? Duration::zero() : FarSpan;
+    const Duration Since = Now - Each.m_SentAt;
+    const Duration MinInterval =
+        Each.m_IsNear || IsUrgent ? Duration::zero() : RemoteInterval;
     const bool IsDue =
-        Since >= RepeatSpan || (Each.m_IsBehind && Since >= Span);
+        Since >= RepeatInterval || (Each.m_IsBehind && Since >= MinInterval);
     if (!IsDue)
       continue;
     m_Link.send(To, Message);
-    Each.m_ToldAt = Now;
+    Each.m_SentAt = Now;
     Each.m_IsBehind = false;
   }
 }
 
 asio::awaitable<void> Agent::stepLoop() {
   while (!m_Stopped) {
-    // Not before the instance answers: what it has staged need not be fetched.
+    // Only once the instance answers: chunks that it has staged need not be
+    // fetched.
     if (m_HasReport)
       co_await m_Weights.step(m_Report);
-    co_await pauseFor(StepSpan);
+    co_await pauseFor(StepInterval);
   }
 }
 
--- a/src/direct/fleet-follower.cc
+++ b/src/direct/fleet-follower.cc
@@ -18,33 +18,36 @@
 namespace {
 
 constexpr auto UseAwaitable = asio::as_tuple(asio::use_awaitable);
-/// Retries of a store that is away: short, since what is declared meanwhile is
-/// to be in force within the same two seconds, and calls are counted.
-constexpr Duration LongestRetry = milliseconds(700);
-/// Lists of instances in the time that a leaving one still takes calls.
+/// Longest delay between retries of an unavailable store. Short, since what is
+/// declared during an outage must be in force within the same two seconds; not
+/// shorter, since calls are counted.
+constexpr Duration MaxRetryDelay = milliseconds(700);
+/// Reads of the instance list in the time that a leaving instance still accepts
+/// requests.
 constexpr int ListsPerDrain = 4;
-/// Of the time in which a change is to be in force: an entry relies that long
-/// on others' reading. The rest is for the turns and for its own read. Above
-/// the time of one watch, so that the first entry confirms in time.
+/// Share of the bound for which an entry relies on others' reads. The rest is
+/// for the ranks before it and its own read. Longer than one watch, so that the
+/// first entry confirms in time.
 constexpr double RelianceShare = 0.42;
-/// The store was away for all if nobody read it for longer, or this entry has
-/// just started: what was declared meanwhile counts from when it is heard. Else
-/// all instances were past the bound of a version at the moment at which the
-/// store returned and named it.
-constexpr Duration LongestUnread = milliseconds(1'500);
-/// What a read and its news to the entries beside take on a sound link. A new
-/// declaration takes longer over one that is busy; then several of a data
-/// centre read it, and not all.
-constexpr Duration TurnStep = milliseconds(150);
-/// Above the time of all reads that go well.
+/// If nobody read the store for longer than this, or this entry has just
+/// started, the store counts as unavailable for all meanwhile, and a new
+/// version counts as declared when it is received. Otherwise all instances
+/// would exceed the bound of a version as soon as the store returned and named
+/// it.
+constexpr Duration OutageThreshold = milliseconds(1'500);
+/// Delay per rank: the time of a read and of its update to the local entries on
+/// a sound link. A new declaration takes longer over a busy link; then several
+/// entries of a data centre read it, but not all.
+constexpr Duration RankDelay = milliseconds(150);
+/// Longer than any read on sound links.
 constexpr Duration StaleMargin = milliseconds(560);
-/// Reads that take longer than this part of their bound are logged: links or
+/// Reads that take longer than their bound divided by this are logged: links or
 /// the store are so slow that the bound may be missed.
-constexpr int SlowReadPart = 8;
-/// The entries of a data centre after the fifth read together.
-constexpr Duration LastTurn = milliseconds(600);
-/// In the log, where a declaration came from.
-const std::string FromStore = "store";
+constexpr int SlowReadDivisor = 8;
+/// Delay of all ranks after the fifth in a data centre, which read together.
+constexpr Duration MaxRankDelay = milliseconds(600);
+/// Logged as the source of a declaration.
+const std::string StoreSource = "store";
 
 Duration reliance(Duration Bound) {
   return Duration(static_cast<Duration::rep>(
@@ -53,7 +56,7 @@
 
 ReadingPlan planFor(Duration Bound, Duration Every) {
   const Duration TakeOver = reliance(Bound);
-  return {Every, TakeOver, TurnStep, LastTurn, TakeOver + StaleMargin};
+  return {Every, TakeOver, RankDelay, MaxRankDelay, TakeOver + StaleMargin};
 }
 
 std::uint32_t ageMs(TimePoint Since) { return direct::ageMs(Since, now()); }
@@ -83,16 +86,16 @@
           asio::steady_timer(Io),
           false,
           [this](const net::PlatformObject &Object) {
-            applyDeclaration(Object, FromStore);
+            applyDeclaration(Object, StoreSource);
           },
           [this](wire::StoreNews &News) {
-            wire::DeclarationNews &Told = *News.mutable_declaration();
-            Told.set_version(m_Version);
-            Told.set_revision(m_Declarations.m_Seen.m_Value);
-            Told.set_age_ms(ageMs(m_Declarations.m_Reading));
-            Told.set_is_relayed(m_Declarations.m_Reading.isRelayed());
+            wire::DeclarationNews &Update = *News.mutable_declaration();
+            Update.set_version(m_Version);
+            Update.set_revision(m_Declarations.m_Seen.m_Value);
+            Update.set_age_ms(ageMs(m_Declarations.m_Reading));
+            Update.set_is_relayed(m_Declarations.m_Reading.isRelayed());
           },
-          [this] { return fetchTold(); }},
+          [this] { return fetchAnnounced(); }},
       m_WeightVersions{
           m_Kinds.m_Weights,
           SharedReading(planFor(Bounds.m_Apply, reliance(Bounds.m_Apply) / 2)),
@@ -101,12 +104,12 @@
           false,
           [this](const net::PlatformObject &Object) { applyWeights(Object); },
           [this](wire::StoreNews &News) {
-            wire::WeightsNews &Told = *News.mutable_weights();
+            wire::WeightsNews &Update = *News.mutable_weights();
             for (const auto &[Model, Each] : m_Weights)
-              write(Each, now(), *Told.add_declared());
-            Told.set_revision(m_WeightVersions.m_Seen.m_Value);
-            Told.set_age_ms(ageMs(m_WeightVersions.m_Reading));
-            Told.set_is_relayed(m_WeightVersions.m_Reading.isRelayed());
+              write(Each, now(), *Update.add_declared());
+            Update.set_revision(m_WeightVersions.m_Seen.m_Value);
+            Update.set_age_ms(ageMs(m_WeightVersions.m_Reading));
+            Update.set_is_relayed(m_WeightVersions.m_Reading.isRelayed());
           },
           nullptr},
       m_Instances(planFor(Bounds.m_Drain, Bounds.m_Drain / ListsPerDrain)),
@@ -136,8 +139,8 @@
   co_await Timer.async_wait(UseAwaitable);
 }
 
-/// Until this entry is to read. News that confirms puts that off; news of a
-/// change cancels the timer.
+/// Waits until this entry is to read. An update that confirms the cached view
+/// postpones that; one that announces a change cancels the timer.
 asio::awaitable<void> FleetFollower::untilDue(SharedReading &Reading,
                                               asio::steady_timer &Wake) {
   while (!m_Stopped && now() < Reading.due()) {
@@ -147,17 +150,17 @@
 }
 
 Duration FleetFollower::retryAfter(unsigned Failures) {
-  return jittered(std::min(backOff(Failures), LongestRetry), m_Random);
+  return jittered(std::min(backOff(Failures), MaxRetryDelay), m_Random);
 }
 
-/// Says once when the store goes away and once when it is back.
-void FleetFollower::noteStore(const std::string &Call,
-                              std::optional<Error> Fault) {
+/// Logs once when the store becomes unavailable and once when it is back.
+void FleetFollower::logStoreAvailability(const std::string &Call,
+                                         std::optional<Error> Fault) {
   // A revision that the store no longer has is no outage.
   const bool IsAway = Fault && Fault->m_Code != ErrorCode::NotFound;
-  if (IsAway == m_StoreAway)
+  if (IsAway == m_IsStoreAway)
     return;
-  m_StoreAway = IsAway;
+  m_IsStoreAway = IsAway;
   if (IsAway) {
     net::log(Event::PlatformUnavailable,
              {{"call", Call}, {"error", Fault->m_Message}});
@@ -166,8 +169,8 @@
   net::log(Event::PlatformAvailable, {{"call", Call}});
 }
 
-void FleetFollower::noteTakeOver(const std::string &Kind,
-                                 const SharedReading &Reading) {
+void FleetFollower::logTakeOver(const std::string &Kind,
+                                const SharedReading &Reading) {
   const bool IsTakeOver = !Reading.isFirst() && !Reading.isBehind() &&
                           Reading.asOf() != TimePoint{};
   if (IsTakeOver)
@@ -175,18 +178,18 @@
              {{"subject", Kind}, {"ageMs", std::uint64_t{ageMs(Reading)}}});
 }
 
-/// Bytes: of the declarations that came.
-void FleetFollower::noteRead(const std::string &Subject, TimePoint Asked,
-                             Duration Bound, std::size_t Bytes) const {
-  if (now() - Asked <= Bound / SlowReadPart)
+/// Logs a slow read; Bytes is the size of the declarations received.
+void FleetFollower::logSlowRead(const std::string &Subject, TimePoint Asked,
+                                Duration Bound, std::size_t Bytes) const {
+  if (now() - Asked <= Bound / SlowReadDivisor)
     return;
   net::log(Event::ReadSlow, {{"subject", Subject},
                              {"ms", std::uint64_t{ageMs(Asked)}},
                              {"bytes", std::uint64_t{Bytes}}});
 }
 
-void FleetFollower::tell(const std::function<void(wire::StoreNews &)> &Fill,
-                         NewsReach Reach) {
+void FleetFollower::publish(const std::function<void(wire::StoreNews &)> &Fill,
+                            NewsReach Reach) {
   if (!m_Calls.m_OnNews)
     return;
   wire::StoreNews News;
@@ -194,7 +197,7 @@
   m_Calls.m_OnNews(News, Reach);
 }
 
-asio::awaitable<void> FleetFollower::follow(Followed &Of) {
+asio::awaitable<void> FleetFollower::follow(FollowedKind &Of) {
   unsigned Failures = 0;
   while (!m_Stopped) {
     const bool Watches = Of.m_Reading.isFirst() && !Of.m_Reading.isBehind() &&
@@ -203,25 +206,27 @@
       co_await untilDue(Of.m_Reading, Of.m_Wake);
     if (m_Stopped)
       break;
-    const bool Came = Watches ? co_await watchOnce(Of) : co_await readOnce(Of);
-    Failures = Came ? 0 : Failures + 1;
-    if (!Came)
+    const bool Succeeded =
+        Watches ? co_await watchOnce(Of) : co_await readOnce(Of);
+    Failures = Succeeded ? 0 : Failures + 1;
+    if (!Succeeded)
       co_await pause(retryAfter(Failures));
   }
 }
 
-/// From another entry where one is known to have more, else from the store.
-asio::awaitable<bool> FleetFollower::readOnce(Followed &Of) {
-  const bool IsTold = Of.m_Reading.isBehind() && Of.m_FetchTold;
-  if (IsTold && co_await Of.m_FetchTold())
+/// Reads from another entry that announced a newer object, else from the store.
+asio::awaitable<bool> FleetFollower::readOnce(FollowedKind &Of) {
+  const bool IsAnnounced = Of.m_Reading.isBehind() && Of.m_FetchAnnounced;
+  if (IsAnnounced && co_await Of.m_FetchAnnounced())
     co_return true;
-  noteTakeOver(Of.m_Kind, Of.m_Reading);
+  logTakeOver(Of.m_Kind, Of.m_Reading);
   co_return co_await refreshOnce(Of);
 }
 
-/// Reads what changed since it was read last. Whole reads by all who had not
-/// heard for a while kept links between regions full for 10 s and more.
-asio::awaitable<bool> FleetFollower::refreshOnce(Followed &Of) {
+/// Reads the changes since the last read. Full reads by all entries that had
+/// received no update for a while kept links between regions full for 10 s and
+/// more.
+asio::awaitable<bool> FleetFollower::refreshOnce(FollowedKind &Of) {
   if (Of.m_Seen.m_Value == 0)
     co_return co_await listOnce(Of);
   const TimePoint Asked = now();
@@ -232,28 +237,28 @@
   co_return co_await listOnce(Of);
 }
 
-/// Reads all, whatever is known of it already.
-asio::awaitable<bool> FleetFollower::listOnce(Followed &Of) {
+/// Reads all objects of a kind.
+asio::awaitable<bool> FleetFollower::listOnce(FollowedKind &Of) {
   const TimePoint Asked = now();
   const auto List = co_await m_Store.list(Of.m_Kind);
   co_return takeRead(Of, List, Asked, "list ");
 }
 
-/// A version may have been told of while an older one was on its way here.
-void FleetFollower::stayBehindWhatWasTold() {
-  if (m_NewestTold > m_Version)
+/// Another version may have been announced while an older one was in transit.
+void FleetFollower::stayBehindAnnounced() {
+  if (m_NewestAnnounced > m_Version)
     m_Declarations.m_Reading.noteBehind(now(), Duration::zero());
 }
 
-bool FleetFollower::takeRead(Followed &Of,
+bool FleetFollower::takeRead(FollowedKind &Of,
                              const Outcome<net::PlatformList> &Read,
                              TimePoint Asked, const std::string &Call) {
-  noteStore(Call + Of.m_Kind, detail::faultOf(Read));
-  noteRead(Of.m_Kind, Asked, m_Bounds.m_Apply, Read ? bytesOf(*Read) : 0);
+  logStoreAvailability(Call + Of.m_Kind, detail::faultOf(Read));
+  logSlowRead(Of.m_Kind, Asked, m_Bounds.m_Apply, Read ? bytesOf(*Read) : 0);
   if (!Read)
     return false;
-  // Whoever told this entry that it is behind has told those of other data
-  // centres.
+  // The entry that announced a newer version has sent it to the entries of
+  // other data centres too.
   const NewsReach Reach =
       Of.m_Reading.isBehind() ? NewsReach::Near : NewsReach::All;
   for (const net::PlatformObject &Each : Read->m_Items)
@@ -261,26 +266,26 @@
   Of.m_Seen = std::max(Of.m_Seen, Read->m_Revision);
   Of.m_MustRead = false;
   Of.m_Reading.confirm(Asked);
-  // What the store does not hold after it was told of does not exist.
-  if (&Of == &m_Declarations && m_NewestToldAt < Asked)
-    m_NewestTold = m_Version;
-  stayBehindWhatWasTold();
-  tell(Of.m_Tell, Reach);
+  // A version announced before this read that the store does not hold does not
+  // exist.
+  if (&Of == &m_Declarations && m_NewestAnnouncedAt < Asked)
+    m_NewestAnnounced = m_Version;
+  stayBehindAnnounced();
+  publish(Of.m_FillUpdate, Reach);
   return true;
 }
 
-/// Watches while this entry is the first. False when the store could not be
-/// asked.
-asio::awaitable<bool> FleetFollower::watchOnce(Followed &Of) {
+/// Watches while this entry is the first. False when the store did not answer.
+asio::awaitable<bool> FleetFollower::watchOnce(FollowedKind &Of) {
   const std::function<bool(net::PlatformEvent)> OnEvent =
-      [&](const net::PlatformEvent &Told) {
-        noteStore("watch " + Of.m_Kind, std::nullopt);
-        if (Told.m_Type == net::PlatformEvent::Type::Put)
-          Of.m_Apply(Told.m_Object);
-        if (Told.m_Type == net::PlatformEvent::Type::Bookmark) {
-          Of.m_Seen = std::max(Of.m_Seen, Told.m_Object.m_Revision);
-          Of.m_Reading.confirm(now() - Told.m_Age);
-          tell(Of.m_Tell, NewsReach::All);
+      [&](const net::PlatformEvent &Update) {
+        logStoreAvailability("watch " + Of.m_Kind, std::nullopt);
+        if (Update.m_Type == net::PlatformEvent::Type::Put)
+          Of.m_Apply(Update.m_Object);
+        if (Update.m_Type == net::PlatformEvent::Type::Bookmark) {
+          Of.m_Seen = std::max(Of.m_Seen, Update.m_Object.m_Revision);
+          Of.m_Reading.confirm(now() - Update.m_Age);
+          publish(Of.m_FillUpdate, NewsReach::All);
         }
         return !m_Stopped && Of.m_Reading.isFirst();
       };
@@ -288,28 +293,29 @@
   const Error End = co_await m_Store.watch(Kinds, Of.m_Seen, OnEvent);
   if (m_Stopped || !Of.m_Reading.isFirst())
     co_return true;
-  // A read shows what was missed, and whether the store answers at all.
+  // A read finds missed changes and shows whether the store answers at all.
   Of.m_MustRead = true;
   if (End.m_Code == ErrorCode::NotFound) {
     Of.m_Seen = {};
     co_return true;
   }
-  noteStore("watch " + Of.m_Kind, End);
+  logStoreAvailability("watch " + Of.m_Kind, End);
   co_return false;
 }
 
 StoreBelief FleetFollower::declarationBelief() {
-  noteRunning();
-  return beliefOf(m_Declarations.m_Reading, m_Bounds.m_Apply, now(), m_Still);
+  checkForPause();
+  return beliefOf(m_Declarations.m_Reading, m_Bounds.m_Apply, now(),
+                  m_PauseDetector);
 }
 
 StoreBelief FleetFollower::instancesBelief() {
-  noteRunning();
-  return beliefOf(m_Instances, m_Bounds.m_Drain, now(), m_Still);
+  checkForPause();
+  return beliefOf(m_Instances, m_Bounds.m_Drain, now(), m_PauseDetector);
 }
 
-void FleetFollower::noteRunning() {
-  const std::optional<Duration> Pause = m_Still.running(now());
+void FleetFollower::checkForPause() {
+  const std::optional<Duration> Pause = m_PauseDetector.running(now());
   if (Pause)
     net::log(Event::ProcessStoodStill,
              {{"ms",
@@ -317,9 +323,9 @@
                    std::chrono::duration_cast<milliseconds>(*Pause).count())}});
 }
 
-bool FleetFollower::hasStoodStillSince(TimePoint Time) {
-  noteRunning();
-  return m_Still.hasEndedSince(Time);
+bool FleetFollower::wasPausedSince(TimePoint Time) {
+  checkForPause();
+  return m_PauseDetector.hasEndedSince(Time);
 }
 
 void FleetFollower::applyDeclaration(const net::PlatformObject &Object,
@@ -330,7 +336,7 @@
     return net::log(
         Event::DeclarationUnreadable,
         {{"name", Object.m_Name}, {"error", Parsed.error().m_Message}});
-  // A read that overtook a newer one must not bring the older version back.
+  // An older read that completes late must not bring the older version back.
   if (Parsed->m_Version <= m_Version)
     return;
   m_Version = Parsed->m_Version;
@@ -352,24 +358,26 @@
     return net::log(
         Event::DeclarationUnreadable,
         {{"name", Object.m_Name}, {"error", Parsed.error().m_Message}});
-  // Since the store was read before it may have been declared at any time.
+  // It may have been declared at any time since the previous read.
   const TimePoint ReadBefore = m_WeightVersions.m_Reading.asOf();
-  const bool WasAway = now() - ReadBefore > LongestUnread;
+  const bool WasAway = now() - ReadBefore > OutageThreshold;
   setWeights({*Parsed, WasAway ? now() : ReadBefore});
 }
 
-void FleetFollower::setWeights(const HeardWeights &Heard) {
-  HeardWeights &Known = m_Weights[Heard.m_Declared.m_Model];
-  const bool IsNewer = Heard.m_Declared.m_Version > Known.m_Declared.m_Version;
-  const bool IsEarlier =
-      Heard.m_Declared == Known.m_Declared && Heard.m_Since < Known.m_Since;
+void FleetFollower::setWeights(const HeardWeights &Received) {
+  HeardWeights &Known = m_Weights[Received.m_Declared.m_Model];
+  const bool IsNewer =
+      Received.m_Declared.m_Version > Known.m_Declared.m_Version;
+  const bool IsEarlier = Received.m_Declared == Known.m_Declared &&
+                         Received.m_Since < Known.m_Since;
   if (!IsNewer && !IsEarlier)
     return;
-  Known = Heard;
+  Known = Received;
   if (IsNewer)
-    net::log(Event::WeightsDeclared, {{"model", Heard.m_Declared.m_Model},
-                                      {"version", Heard.m_Declared.m_Version},
-                                      {"ageMs", ageMs(Heard.m_Since)}});
+    net::log(Event::WeightsDeclared,
+             {{"model", Received.m_Declared.m_Model},
+              {"version", Received.m_Declared.m_Version},
+              {"ageMs", ageMs(Received.m_Since)}});
   std::vector<HeardWeights> All;
   for (const auto &[Model, Each] : m_Weights)
     All.push_back(Each);
@@ -377,7 +385,8 @@
 }
 
 asio::awaitable<bool> FleetFollower::readDeclarations() {
-  // The versions first: who knows a model without them takes the first one.
+  // Versions first: whoever knows a model without a declared version uses the
+  // first one.
   co_return co_await listOnce(m_WeightVersions) &&
       co_await listOnce(m_Declarations);
 }
--- a/src/direct/fleet-instances.cc
+++ b/src/direct/fleet-instances.cc
@@ -1,4 +1,4 @@
-// The list of instances as a follower of the fleet reads, keeps and tells it.
+// How FleetFollower reads, keeps and announces the list of instances.
 #include "daemon/clock.h"
 #include "direct/fleet-follower.h"
 #include "direct/store-news.h"
@@ -31,48 +31,48 @@
     const NewsReach Reach =
         m_Instances.isBehind() ? NewsReach::Near : NewsReach::All;
     const InstanceList Before = m_Read;
-    const bool Came = co_await readInstances();
-    Failures = Came ? 0 : Failures + 1;
-    if (!Came)
+    const bool Succeeded = co_await readInstances();
+    Failures = Succeeded ? 0 : Failures + 1;
+    if (!Succeeded)
       co_await pause(retryAfter(Failures));
     else
-      tellInstances(changeBetween(Before, m_Read), Reach);
+      publishInstances(changeBetween(Before, m_Read), Reach);
   }
 }
 
-/// From another entry where one is known to have a newer one, else from the
-/// store, which may turn this entry away while it serves the other.
+/// Reads from another entry that announced a newer list, else from the store,
+/// which may reject this entry while it serves the other.
 asio::awaitable<bool> FleetFollower::readInstances() {
-  // Awaited for one by one: within "&&" or a condition that returns, g++ 12
-  // resumes the awaiting coroutine at a wrong place.
-  bool Came = false;
+  // Awaited in separate statements: within "&&" or a condition that returns,
+  // g++ 12 resumes the awaiting coroutine at the wrong place.
+  bool Succeeded = false;
   if (m_Instances.isBehind())
-    Came = co_await fetchToldInstances();
-  if (Came)
+    Succeeded = co_await fetchAnnouncedInstances();
+  if (Succeeded)
     co_return true;
-  noteTakeOver(m_Kinds.m_Instances, m_Instances);
-  Came = co_await listInstances();
-  co_return Came;
+  logTakeOver(m_Kinds.m_Instances, m_Instances);
+  Succeeded = co_await listInstances();
+  co_return Succeeded;
 }
 
-void FleetFollower::tellInstances(const InstanceListChange &Change,
-                                  NewsReach Reach) {
+void FleetFollower::publishInstances(const InstanceListChange &Change,
+                                     NewsReach Reach) {
   const auto Fill = [&](wire::StoreNews &News) {
-    wire::InstancesNews &Told = *News.mutable_instances();
-    write(Change, Told);
-    Told.set_revision(m_ReadRevision.m_Value);
-    Told.set_age_ms(ageMs(m_Instances.asOf()));
-    Told.set_is_relayed(m_Instances.isRelayed());
-    if (const auto Returned = m_Lapsed.returnedLately(now()))
-      Told.set_returned_ms(ageMs(*Returned));
+    wire::InstancesNews &Update = *News.mutable_instances();
+    write(Change, Update);
+    Update.set_revision(m_ReadRevision.m_Value);
+    Update.set_age_ms(ageMs(m_Instances.asOf()));
+    Update.set_is_relayed(m_Instances.isRelayed());
+    if (const auto Returned = m_Expired.returnedLately(now()))
+      Update.set_returned_ms(ageMs(*Returned));
   };
-  tell(Fill, Reach);
+  publish(Fill, Reach);
 }
 
 asio::awaitable<bool> FleetFollower::listInstances() {
   const TimePoint Asked = now();
   const auto List = co_await m_Store.list(m_Kinds.m_Instances);
-  noteRead(m_Kinds.m_Instances, Asked, m_Bounds.m_Drain, 0);
+  logSlowRead(m_Kinds.m_Instances, Asked, m_Bounds.m_Drain, 0);
   co_return takeInstances(List, Asked);
 }
 
@@ -83,50 +83,51 @@
 
 bool FleetFollower::takeInstances(const Outcome<net::PlatformList> &List,
                                   TimePoint AsOf) {
-  noteStore("list " + m_Kinds.m_Instances, detail::faultOf(List));
-  // A limit that passed while this process stood still shows no outage: what
-  // left meanwhile would be kept as if the store had been away for all.
-  const bool IsOwnPause = m_Bounds.m_KeepsLapsed && hasStoodStillSince(AsOf);
+  logStoreAvailability("list " + m_Kinds.m_Instances, detail::faultOf(List));
+  // A time-out that passed while this process was paused is no outage of the
+  // store: otherwise instances that left meanwhile would be kept.
+  const bool IsOwnPause = m_Bounds.m_KeepsExpired && wasPausedSince(AsOf);
   m_HasListFailed = m_HasListFailed || (!List && !IsOwnPause);
   if (!List || m_Stopped)
     return false;
-  HeardAsOf Heard{AsOf, false, std::nullopt};
-  if (m_Bounds.m_KeepsLapsed &&
+  ListTimes Times{AsOf, false, std::nullopt};
+  if (m_Bounds.m_KeepsExpired &&
       showsReturn(m_Instances, m_HasListFailed, now()))
-    Heard.m_Returned = now();
+    Times.m_Returned = now();
   m_HasListFailed = false;
-  // Something newer was heard of while this one was on its way.
+  // A newer list was received while this one was in transit.
   if (List->m_Revision < m_ReadRevision)
     return false;
-  // What the store does not hold after it was told of does not exist.
+  // A list announced before this read that the store does not hold does not
+  // exist.
   m_InstanceHolders.forgetToldBefore(AsOf);
-  adoptInstances(parseInstances(*List), List->m_Revision, Heard);
+  adoptInstances(parseInstances(*List), List->m_Revision, Times);
   return true;
 }
 
-/// A list that is older than the known one is left: it may name those that have
+/// Ignores a list older than the known one: it may name instances that have
 /// left since.
 void FleetFollower::adoptInstances(InstanceList Listed, Revision At,
-                                   const HeardAsOf &AsOf) {
+                                   const ListTimes &AsOf) {
   if (At < m_ReadRevision)
     return;
   noteInstancesAsOf(At, AsOf);
-  if (m_Bounds.m_KeepsLapsed && AsOf.m_Returned)
-    m_Lapsed.storeReturned(*AsOf.m_Returned);
+  if (m_Bounds.m_KeepsExpired && AsOf.m_Returned)
+    m_Expired.storeReturned(*AsOf.m_Returned);
   applyInstances(std::move(Listed));
 }
 
-/// The known list is still the newest.
-void FleetFollower::keepInstances(Revision At, const HeardAsOf &AsOf) {
+/// Records that the known list is still the newest.
+void FleetFollower::keepInstances(Revision At, const ListTimes &AsOf) {
   noteInstancesAsOf(At, AsOf);
-  // Those that have lapsed count as listed for a while only.
+  // Lapsed instances count as listed only for a while.
   if (m_Listed.size() != m_Read.size())
     applyInstances(m_Read);
   if (m_Relay)
     m_Relay->confirmInstances(m_ReadRevision, m_Instances.asOf());
 }
 
-void FleetFollower::noteInstancesAsOf(Revision At, const HeardAsOf &AsOf) {
+void FleetFollower::noteInstancesAsOf(Revision At, const ListTimes &AsOf) {
   m_ReadRevision = At;
   m_InstanceHolders.forgetUpTo(At);
   const bool IsBehind = !m_InstanceHolders.empty();
@@ -137,7 +138,7 @@
   m_Instances.noteCaughtUp();
 }
 
-/// An entry that cannot be read names no instance; the others hold.
+/// Skips objects that cannot be parsed.
 InstanceList FleetFollower::parseInstances(const net::PlatformList &List) {
   InstanceList Out;
   std::map<std::string, std::string> Unreadable;
@@ -149,12 +150,12 @@
     else
       Unreadable.emplace(Each.m_Name, Parsed.error().m_Message);
   }
-  noteUnreadable(std::move(Unreadable));
+  logUnreadable(std::move(Unreadable));
   return Out;
 }
 
-/// Says each change once and not at each read.
-void FleetFollower::noteUnreadable(
+/// Logs each change of the unreadable objects once rather than at each read.
+void FleetFollower::logUnreadable(
     std::map<std::string, std::string> Unreadable) {
   for (const auto &[Name, Fault] : Unreadable) {
     const auto Known = m_Unreadable.find(Name);
@@ -173,10 +174,10 @@
 void FleetFollower::applyInstances(InstanceList Read) {
   if (m_Relay)
     m_Relay->hold(HeldInstances{Read, m_ReadRevision, m_Instances.asOf(),
-                                m_Lapsed.returnedLately(now())});
+                                m_Expired.returnedLately(now())});
   m_Read = std::move(Read);
   m_ReadFingerprint = fingerprintOf(m_Read);
-  InstanceList Listed = m_Lapsed.complete(m_Read, m_Listed, now());
+  InstanceList Listed = m_Expired.complete(m_Read, m_Listed, now());
   if (m_KnowsInstances && Listed == m_Listed)
     return;
   logChanges(Listed);
@@ -188,7 +189,7 @@
   m_Calls.m_OnInstances(All);
 }
 
-/// Tells what is to be believed from now on and was not before.
+/// Logs the differences between the previous view of the list and the new one.
 void FleetFollower::logChanges(const InstanceList &Now) {
   const auto Log = [](Event What, const FleetInstance &Each) {
     net::log(What, {{"instance", Each.m_Id.m_Text},
--- a/src/direct/fleet-news.cc
+++ b/src/direct/fleet-news.cc
@@ -1,4 +1,4 @@
-// What a follower of the fleet does with what other entries have read.
+// How FleetFollower handles the updates of other entries.
 #include "daemon/clock.h"
 #include "direct/fleet-follower.h"
 #include "direct/store-news.h"
@@ -16,16 +16,16 @@
 
 namespace {
 
-/// An entry beside this one may have a change first that is on its way here
-/// too: the way between data centres, and the time in which datagrams to all
-/// entries are sent.
-constexpr Duration ChangeOnItsWay = milliseconds(40);
+/// Another entry may announce a change whose own update is still in transit to
+/// this one: the transit time between data centres, and the time it takes to
+/// send the datagrams to all entries.
+constexpr Duration ChangeTransitTime = milliseconds(40);
 
-/// Holders asked one after the other before the store is: each that is dead
-/// costs 0.25 s, and the list is to come within half of the bound.
-constexpr int HoldersBeforeStore = 2;
+/// Holders tried in sequence before the store is read: each dead one costs
+/// 0.25 s, and the list must arrive within half of the bound.
+constexpr int MaxHoldersAsked = 2;
 
-ToldReading toldBy(const auto &News, const NewsOrigin &From) {
+ToldReading readingIn(const auto &News, const NewsOrigin &From) {
   return {milliseconds(News.age_ms()), From.m_Late, From.m_IsNear,
           News.is_relayed()};
 }
@@ -34,95 +34,98 @@
 
 wire::StoreNews FleetFollower::digest() {
   wire::StoreNews Out;
-  // Others would take it for a word from one that has listened.
+  // Stale state is left out: others would take it as confirmed by this entry.
   if (knowsDeclaration() && !declarationBelief().m_IsUnsure)
-    m_Declarations.m_Tell(Out);
+    m_Declarations.m_FillUpdate(Out);
   if (knowsWeights())
-    m_WeightVersions.m_Tell(Out);
+    m_WeightVersions.m_FillUpdate(Out);
   if (!m_KnowsInstances || instancesBelief().m_IsUnsure)
     return Out;
-  wire::InstancesNews &Told = *Out.mutable_instances();
-  Told.set_after(m_ReadFingerprint);
-  Told.set_revision(m_ReadRevision.m_Value);
-  Told.set_age_ms(ageMs(m_Instances.asOf(), now()));
-  Told.set_is_relayed(m_Instances.isRelayed());
+  wire::InstancesNews &Announced = *Out.mutable_instances();
+  Announced.set_after(m_ReadFingerprint);
+  Announced.set_revision(m_ReadRevision.m_Value);
+  Announced.set_age_ms(ageMs(m_Instances.asOf(), now()));
+  Announced.set_is_relayed(m_Instances.isRelayed());
   return Out;
 }
 
 void FleetFollower::confirmIfCertain(SharedReading &Reading,
-                                     const ToldReading &Told, TimePoint Now) {
-  if (const auto AsOf = asOfTold(Told, Now))
-    Reading.confirm(*AsOf, Told.m_IsRelayed);
+                                     const ToldReading &Announced,
+                                     TimePoint Now) {
+  if (const auto AsOf = asOfTold(Announced, Now))
+    Reading.confirm(*AsOf, Announced.m_IsRelayed);
 }
 
 void FleetFollower::hear(const wire::StoreNews &News, const NewsOrigin &From) {
-  noteRunning();
+  checkForPause();
   const TimePoint Now = now();
   if (News.has_declaration())
-    hearDeclaration(News.declaration(), From, Now);
+    onDeclarationUpdate(News.declaration(), From, Now);
   if (News.has_weights())
-    hearWeights(News.weights(), From, Now);
+    onWeightsUpdate(News.weights(), From, Now);
   if (News.has_instances())
-    hearInstances(News.instances(), From, Now);
+    onInstancesUpdate(News.instances(), From, Now);
 }
 
-/// The first entry of a data centre gets a newer declaration from wherever it
-/// is, and the others get it from an entry beside them.
-void FleetFollower::hearDeclaration(const wire::DeclarationNews &News,
-                                    const NewsOrigin &From, TimePoint Now) {
+/// The first entry of a data centre fetches a newer declaration from any entry;
+/// the others fetch it from a local entry.
+void FleetFollower::onDeclarationUpdate(const wire::DeclarationNews &News,
+                                        const NewsOrigin &From, TimePoint Now) {
   if (News.version() < m_Version)
     return;
   SharedReading &Reading = m_Declarations.m_Reading;
   Reading.noteTold(Now - From.m_Late);
   if (News.version() > m_Version) {
-    const bool IsBetter = !m_Told || News.version() > m_Told->m_Version ||
-                          (From.m_IsNear && !m_Told->m_From.m_IsNear);
+    const bool IsBetter = !m_Announced ||
+                          News.version() > m_Announced->m_Version ||
+                          (From.m_IsNear && !m_Announced->m_From.m_IsNear);
     if (IsBetter)
-      m_Told = {News.version(), Revision{News.revision()},
-                asOfTold(toldBy(News, From), Now).value_or(TimePoint{}), From};
+      m_Announced = {News.version(), Revision{News.revision()},
+                     asOfTold(readingIn(News, From), Now).value_or(TimePoint{}),
+                     From};
     Reading.noteBehind(Now,
                        From.m_IsNear ? Duration::zero() : Reading.turnWait());
-    m_NewestTold = std::max(m_NewestTold, News.version());
-    m_NewestToldAt = Now;
+    m_NewestAnnounced = std::max(m_NewestAnnounced, News.version());
+    m_NewestAnnouncedAt = Now;
     m_Declarations.m_Wake.cancel();
     return;
   }
-  // Whoever says so has not heard yet of the one that this entry is behind.
-  if (m_NewestTold > m_Version)
+  // The sender has not yet received the newer version known to exist.
+  if (m_NewestAnnounced > m_Version)
     return;
-  confirmIfCertain(Reading, toldBy(News, From), Now);
+  confirmIfCertain(Reading, readingIn(News, From), Now);
   m_Declarations.m_Seen =
       std::max(m_Declarations.m_Seen, Revision{News.revision()});
 }
 
-void FleetFollower::hearWeights(const wire::WeightsNews &News,
-                                const NewsOrigin &From, TimePoint Now) {
+void FleetFollower::onWeightsUpdate(const wire::WeightsNews &News,
+                                    const NewsOrigin &From, TimePoint Now) {
   for (const wire::DeclaredWeightsState &Each : News.declared())
     setWeights(read(Each, Now));
-  // Who knows a version that is not told must not take the news for as new.
+  // An update that lacks a version known here confirms nothing.
   for (const auto &[Model, Each] : m_Weights) {
-    const auto Told = std::find_if(
+    const auto Announced = std::find_if(
         News.declared().begin(), News.declared().end(),
         [&Model = Model](const auto &At) { return At.model() == Model; });
-    if (Told == News.declared().end() ||
-        Told->version() < Each.m_Declared.m_Version)
+    if (Announced == News.declared().end() ||
+        Announced->version() < Each.m_Declared.m_Version)
       return;
   }
-  confirmIfCertain(m_WeightVersions.m_Reading, toldBy(News, From), Now);
+  confirmIfCertain(m_WeightVersions.m_Reading, readingIn(News, From), Now);
   m_WeightVersions.m_Seen =
       std::max(m_WeightVersions.m_Seen, Revision{News.revision()});
 }
 
-/// Lists are told apart by the store's revision: by their age, two that were
-/// read within some milliseconds could not be.
-void FleetFollower::hearInstances(const wire::InstancesNews &News,
-                                  const NewsOrigin &From, TimePoint Now) {
+/// Lists are ordered by the store's revision: ages do not distinguish two lists
+/// read within a few milliseconds.
+void FleetFollower::onInstancesUpdate(const wire::InstancesNews &News,
+                                      const NewsOrigin &From, TimePoint Now) {
   const Revision At{News.revision()};
   if (At < m_ReadRevision)
     return;
   m_Instances.noteTold(Now - From.m_Late);
-  const ToldReading Told = toldBy(News, From);
-  HeardAsOf AsOf{asOfTold(Told, Now), Told.m_IsRelayed, std::nullopt};
+  const ToldReading Announced = readingIn(News, From);
+  ListTimes AsOf{asOfTold(Announced, Now), Announced.m_IsRelayed, std::nullopt};
   if (News.has_returned_ms())
     AsOf.m_Returned = Now - milliseconds(News.returned_ms());
   if (m_KnowsInstances && m_ReadFingerprint == News.after())
@@ -132,44 +135,45 @@
   if (Changed)
     adoptInstances(*Changed, At, AsOf);
   else if (At > m_ReadRevision)
-    noteInstancesTold(At, From, Now);
+    noteInstancesAnnounced(At, From, Now);
 }
 
-/// Near ones are asked first; the change itself may just be on its way.
-void FleetFollower::noteInstancesTold(Revision At, const NewsOrigin &From,
-                                      TimePoint Now) {
+/// Holders in this data centre are asked first, after a delay in which the
+/// change itself may arrive.
+void FleetFollower::noteInstancesAnnounced(Revision At, const NewsOrigin &From,
+                                           TimePoint Now) {
   m_InstanceHolders.note({From.m_Link, At, From.m_IsNear, Now});
   m_Instances.noteBehind(Now, From.m_IsNear
-                                  ? ChangeOnItsWay
-                                  : ChangeOnItsWay + m_Instances.turnWait());
+                                  ? ChangeTransitTime
+                                  : ChangeTransitTime + m_Instances.turnWait());
   m_InstancesWake.cancel();
 }
 
-/// Whoever told of the list may have died since, or give none: where the store
-/// turns this entry away as well, only another one helps.
-asio::awaitable<bool> FleetFollower::fetchToldInstances() {
+/// Tries another holder if the first one has died or does not provide the list:
+/// if the store rejects this entry as well, only other entries can provide it.
+asio::awaitable<bool> FleetFollower::fetchAnnouncedInstances() {
   std::string Last;
-  bool Came = false;
-  for (int Asked = 0; Asked < HoldersBeforeStore && !Came; ++Asked) {
+  bool Succeeded = false;
+  for (int Asked = 0; Asked < MaxHoldersAsked && !Succeeded; ++Asked) {
     const auto Next = m_InstanceHolders.next();
     const bool IsOther = Next && Next->m_Link != Last;
     if (!IsOther)
       break;
     Last = Next->m_Link;
-    Came = co_await askHolder(Next->m_Link, Next->m_Has);
+    Succeeded = co_await askHolder(Next->m_Link, Next->m_Has);
   }
-  co_return Came;
+  co_return Succeeded;
 }
 
-/// Whether what it had told of is known here now.
+/// Whether the holder provided at least the revision that it announced.
 asio::awaitable<bool> FleetFollower::askHolder(std::string Link, Revision Has) {
-  const bool Came = co_await fetchInstancesFrom(Link);
-  if (Came && m_ReadRevision >= Has)
+  const bool Succeeded = co_await fetchInstancesFrom(Link);
+  if (Succeeded && m_ReadRevision >= Has)
     co_return true;
   m_InstanceHolders.noteFailure(Link);
-  if (Came)
+  if (Succeeded)
     net::log(Event::ListNotRelayed,
-             {{"from", Link}, {"error", "an older list came"}});
+             {{"from", Link}, {"error", "received an older list"}});
   co_return false;
 }
 
@@ -186,28 +190,29 @@
   co_return !m_Stopped;
 }
 
-/// The text from the entry that told of it. One copy leaves the store then, and
-/// one packed to a tenth crosses to each data centre.
-asio::awaitable<bool> FleetFollower::fetchTold() {
-  const auto Told = std::exchange(m_Told, std::nullopt);
-  if (!Told || Told->m_Version <= m_Version)
+/// Fetches the text from the entry that announced it, so that one copy leaves
+/// the store, and one compressed to a tenth is sent to each data centre.
+asio::awaitable<bool> FleetFollower::fetchAnnounced() {
+  const auto Announced = std::exchange(m_Announced, std::nullopt);
+  if (!Announced || Announced->m_Version <= m_Version)
     co_return false;
-  const auto Got =
-      co_await fetchDeclaration(m_Http, Told->m_From.m_Link, Told->m_Version);
+  const auto Got = co_await fetchDeclaration(m_Http, Announced->m_From.m_Link,
+                                             Announced->m_Version);
   if (!Got) {
-    net::log(Event::DeclarationNotRelayed, {{"version", Told->m_Version},
-                                            {"from", Told->m_From.m_Link},
+    net::log(Event::DeclarationNotRelayed, {{"version", Announced->m_Version},
+                                            {"from", Announced->m_From.m_Link},
                                             {"error", Got.error().m_Message}});
     co_return false;
   }
-  applyDeclaration(Got->m_Object, Told->m_From.m_Link);
-  if (m_Stopped || m_Version < Told->m_Version)
+  applyDeclaration(Got->m_Object, Announced->m_From.m_Link);
+  if (m_Stopped || m_Version < Announced->m_Version)
     co_return false;
-  m_Declarations.m_Seen = std::max(m_Declarations.m_Seen, Told->m_Revision);
-  m_Declarations.m_Reading.confirm(Told->m_AsOf, true);
+  m_Declarations.m_Seen =
+      std::max(m_Declarations.m_Seen, Announced->m_Revision);
+  m_Declarations.m_Reading.confirm(Announced->m_AsOf, true);
   m_Declarations.m_Reading.noteCaughtUp();
-  stayBehindWhatWasTold();
-  tell(m_Declarations.m_Tell, NewsReach::Near);
+  stayBehindAnnounced();
+  publish(m_Declarations.m_FillUpdate, NewsReach::Near);
   co_return true;
 }
 
--- a/src/direct/store-news.cc
+++ b/src/direct/store-news.cc
@@ -26,8 +26,8 @@
 }
 
 WeightsSource read(const wire::WeightsSourceState &From) {
-  const double Told = From.origin_mbps();
-  const double OriginMbps = std::isfinite(Told) ? std::max(Told, 0.0) : 0;
+  const double Mbps = From.origin_mbps();
+  const double OriginMbps = std::isfinite(Mbps) ? std::max(Mbps, 0.0) : 0;
   return {{From.service()}, From.model(), From.origin(), OriginMbps};
 }
 
--- a/src/direct/store-news.h
+++ b/src/direct/store-news.h
@@ -1,4 +1,5 @@
-// Between what an entry knows of the store and the datagrams that tell it.
+// Conversion between an entry's view of the store and the messages that carry
+// it.
 #pragma once
 
 #include "deckpitch/instance-list.h"
@@ -6,8 +7,9 @@
 
 namespace deckpitch::direct {
 
-/// Changes of more instances than these are not told: a datagram stays below
-/// 8 KB, and who misses one reads the list itself.
+/// A change of more instances than this is sent without its contents, so that a
+/// datagram stays below 8 KB; a receiver that lacks the contents reads the
+/// list.
 inline constexpr std::size_t MostChangesTold = 40;
 
 void write(const HeardWeights &From, TimePoint Now,
@@ -20,10 +22,10 @@
 void write(const HeldWeights &From, wire::HeldWeightsState &To);
 HeldWeights read(const wire::HeldWeightsState &From);
 
-/// Whole milliseconds since then, 0 for what is to come.
+/// Milliseconds from Since to Now, rounded up; 0 if Since is later.
 std::uint32_t ageMs(TimePoint Since, TimePoint Now);
 
-/// A list as a change that puts all of it.
+/// Writes a list as a change that puts all its instances.
 void writeWhole(const InstanceList &From, std::uint64_t Fingerprint,
                 wire::InstancesNews &To);
 InstanceList readWhole(const wire::InstancesNews &From);
--- a/src/direct/store-relay.cc
+++ b/src/direct/store-relay.cc
@@ -18,19 +18,19 @@
 const std::string InstancesPath = "/v1/instances";
 constexpr unsigned StatusOk = 200;
 constexpr unsigned StatusNotFound = 404;
-/// Of a text: the store's own limit is 1 MiB a value. A list of 1,000 instances
-/// takes 0.2 MB.
+/// Longest text: the store itself limits a value to 1 MiB. A list of 1,000
+/// instances takes 0.2 MB.
 constexpr std::size_t MostTextBytes = std::size_t{4} * 1024 * 1024;
-/// Of a list of 2,500 instances. Shorter entries take a hundred times their
-/// text in memory.
-constexpr std::size_t MostListBytes = std::size_t{512} * 1024;
-/// Of an answer: packed texts are smaller than the text.
-constexpr std::size_t MostBodyBytes = std::size_t{5} * 1024 * 1024;
-/// The holder packs 1 MB in some 100 ms of a quarter of a core, once. An entry
-/// that takes longer is buried, and the store is asked instead.
+/// Longest list, that of 2,500 instances. Short items use a hundred times the
+/// size of their text in memory.
+constexpr std::size_t MaxListBytes = std::size_t{512} * 1024;
+/// Longest answer: a compressed text is no longer than the text.
+constexpr std::size_t MaxBodyBytes = std::size_t{5} * 1024 * 1024;
+/// A holder compresses 1 MB once, in about 100 ms with a quarter of a core. One
+/// that takes longer is overloaded, and the store is read instead.
 constexpr net::CallLimits FetchLimits{milliseconds(250), milliseconds(600),
-                                      milliseconds(400), MostBodyBytes};
-/// Other processes of the fleet only, each with one short question.
+                                      milliseconds(400), MaxBodyBytes};
+/// Only other processes of the fleet connect, each with one short request.
 constexpr net::HttpLimits ServeLimits{std::size_t{4} * 1024,
                                       std::size_t{4} * 1024,
                                       milliseconds(2'000),
@@ -46,8 +46,7 @@
 }
 
 Error notHeld(unsigned Status) {
-  return {ErrorCode::NotFound,
-          "the process answered " + std::to_string(Status)};
+  return {ErrorCode::NotFound, "the holder answered " + std::to_string(Status)};
 }
 
 asio::awaitable<Outcome<std::string>>
@@ -77,8 +76,7 @@
 Outcome<HeldDeclaration> parseRelayed(const std::string &Body) {
   wire::DeclarationText From;
   if (!From.ParseFromString(Body))
-    return Error{ErrorCode::InvalidInput,
-                 "a relayed declaration is no message"};
+    return Error{ErrorCode::InvalidInput, "malformed relayed declaration"};
   auto Text = net::inflate(From.deflated(), MostTextBytes);
   if (!Text)
     return Text.error();
@@ -113,7 +111,7 @@
                                              TimePoint Asked) {
   wire::InstancesText From;
   if (!From.ParseFromString(Body) || From.revision() == 0)
-    return Error{ErrorCode::InvalidInput, "a relayed list is no message"};
+    return Error{ErrorCode::InvalidInput, "malformed relayed list"};
   HeldInstances Out;
   Out.m_List = Known;
   Out.m_Revision = {From.revision()};
@@ -121,21 +119,23 @@
   if (From.has_returned_ms())
     Out.m_Returned = Asked - milliseconds(From.returned_ms());
   if (!From.deflated().empty()) {
-    const auto Text = net::inflate(From.deflated(), MostListBytes);
+    const auto Text = net::inflate(From.deflated(), MaxListBytes);
     if (!Text)
       return Text.error();
     wire::InstancesNews All;
     if (!All.ParseFromString(*Text))
-      return Error{ErrorCode::InvalidInput, "a relayed list cannot be read"};
+      return Error{ErrorCode::InvalidInput,
+                   "malformed contents of a relayed list"};
     Out.m_List = readWhole(All);
   }
   if (fingerprintOf(Out.m_List) != From.fingerprint())
-    return Error{ErrorCode::InvalidInput, "a relayed list is not whole"};
+    return Error{ErrorCode::InvalidInput,
+                 "a relayed list does not match its fingerprint"};
   return Out;
 }
 
-// Targets are made before they are awaited with: g++ 12 copies a string that is
-// made within the expression bitwise into the coroutine's frame.
+// Targets are built before the co_await expression: g++ 12 copies a string
+// temporary within the expression bitwise into the coroutine's frame.
 
 asio::awaitable<Outcome<HeldDeclaration>>
 fetchDeclaration(net::HttpClient &Http, std::string Holder,
@@ -147,7 +147,7 @@
     co_return Body.error();
   auto Got = parseRelayed(*Body);
   if (Got && Got->m_Version < Version)
-    co_return Error{ErrorCode::InvalidInput, "an older declaration came"};
+    co_return Error{ErrorCode::InvalidInput, "received an older declaration"};
   co_return Got;
 }
 
@@ -194,7 +194,7 @@
   m_Instances.m_AsOf = AsOf;
 }
 
-/// Null where none so new is held.
+/// Null if the held declaration is older than the requested version.
 const std::string *
 StoreRelay::declarationBody(const net::HttpRequest &Request) {
   const std::uint64_t Wanted = numberIn(Request.query("version"));
@@ -218,9 +218,9 @@
 
 asio::awaitable<void> StoreRelay::answer(net::HttpRequest Request,
                                          net::HttpResponder &Answer) {
-  net::HttpResponse Told;
-  Told.m_Status = StatusOk;
-  Told.m_Headers.add("Content-Type", "application/x-protobuf");
+  net::HttpResponse Response;
+  Response.m_Status = StatusOk;
+  Response.m_Headers.add("Content-Type", "application/x-protobuf");
   const bool IsGet = Request.m_Method == "GET";
   const std::string *Declaration = IsGet && Request.path() == DeclarationPath
                                        ? declarationBody(Request)
@@ -228,13 +228,13 @@
   const bool HasInstances = IsGet && Request.path() == InstancesPath &&
                             m_Instances.m_Revision.m_Value != 0;
   if (Declaration)
-    Told.m_Body = *Declaration;
+    Response.m_Body = *Declaration;
   else if (HasInstances)
-    Told.m_Body = instancesBody(Request);
+    Response.m_Body = instancesBody(Request);
   else
-    Told = net::jsonResponse(StatusNotFound,
-                             R"({"error":"nothing so new is held here"})");
-  co_await Answer.send(std::move(Told));
+    Response = net::jsonResponse(StatusNotFound,
+                                 R"({"error":"nothing so new is held here"})");
+  co_await Answer.send(std::move(Response));
 }
 
 } // namespace deckpitch::direct
--- a/src/direct/store-relay.h
+++ b/src/direct/store-relay.h
@@ -1,6 +1,6 @@
-// Passes what one process has read from the store on to others: the text of the
-// newest declaration and the list of instances. One copy of each leaves the
-// store, and who cannot reach the store gets them all the same.
+// Relays what one process has read from the store to others: the text of the
+// newest declaration and the list of instances. The store sends one copy of
+// each, and processes that cannot reach the store still get them.
 #pragma once
 
 #include "deckpitch/instance-list.h"
@@ -16,8 +16,8 @@
 
 namespace asio = boost::asio;
 
-/// A declaration as the store held it. Its version is known to whoever has
-/// read it; the text is opaque here.
+/// A declaration as the store held it. The text is opaque here; its version was
+/// parsed by the process that read it.
 struct HeldDeclaration {
   std::uint64_t m_Version = 0;
   net::PlatformObject m_Object;
@@ -26,26 +26,25 @@
                          const HeldDeclaration &) = default;
 };
 
-/// The list of instances that the store held.
+/// The list of instances as the store held it.
 struct HeldInstances {
   InstanceList m_List;
-  Revision m_Revision{}; ///< of the store
-  TimePoint m_AsOf{};    ///< when it held that list
-  /// When the store was back after it had been away for all, if that was
-  /// lately.
+  Revision m_Revision{}; ///< store revision
+  TimePoint m_AsOf{};    ///< when the store held the list
+  /// When the store returned after an outage for all entries, if recently.
   std::optional<TimePoint> m_Returned;
 
   friend bool operator==(const HeldInstances &,
                          const HeldInstances &) = default;
 };
 
-/// The body of a relayed answer, and back. Errors: InvalidInput.
+/// Formats and parses the body of a relayed declaration. Errors: InvalidInput.
 std::string formatRelayed(const HeldDeclaration &Value);
 Outcome<HeldDeclaration> parseRelayed(const std::string &Body);
 
-/// The same of a list. Known is what the asker has: where that is the same
-/// list, only its revision and age are passed on. Asked is when it asked, so
-/// that the way back makes nothing fresher.
+/// The same for a list. Known is the list that the requester holds: if it is
+/// the same, only its revision and age are sent. Asked is when the request was
+/// made; ages count from then, so that transit does not make a list fresher.
 std::string formatRelayed(const HeldInstances &Value, std::uint64_t Fingerprint,
                           const std::string &Packed, TimePoint Now);
 std::string packInstances(const InstanceList &List, std::uint64_t Fingerprint);
@@ -53,15 +52,15 @@
                                              const InstanceList &Known,
                                              TimePoint Asked);
 
-/// Asks another process. Errors of both: NotFound where it holds none so new,
-/// InvalidInput for what cannot be read, Unavailable, Timeout.
+/// Fetch from another process. Errors of both: NotFound if it holds nothing as
+/// new as that, InvalidInput for a malformed answer, Unavailable, Timeout.
 asio::awaitable<Outcome<HeldDeclaration>>
 fetchDeclaration(net::HttpClient &Http, std::string Holder,
                  std::uint64_t Version);
 asio::awaitable<Outcome<HeldInstances>>
 fetchInstances(net::HttpClient &Http, std::string Holder, InstanceList Known);
 
-/// Serves what this process holds. All on one loop.
+/// Serves what this process holds. Runs on a single event loop.
 class StoreRelay {
 public:
   explicit StoreRelay(net::IoThreads &Threads);
@@ -69,10 +68,10 @@
   /// Errors: InvalidInput, Unavailable.
   Result<void> listen(const std::string &Address);
   void stop() { m_Server.stop(); }
-  /// What is served from now on.
+  /// Sets what is served from now on.
   void hold(HeldDeclaration Newest);
   void hold(HeldInstances Newest);
-  /// The held list was found to be the newest again.
+  /// Records that the held list was still the newest at this revision.
   void confirmInstances(Revision At, TimePoint AsOf);
 
 private:
@@ -83,10 +82,10 @@
 
   net::HttpServer m_Server;
   HeldDeclaration m_Declaration;
-  std::string m_DeclarationBody; ///< made when it is first asked for
+  std::string m_DeclarationBody; ///< formatted at the first request
   HeldInstances m_Instances;
   std::uint64_t m_Fingerprint = 0;
-  std::string m_PackedInstances; ///< made when they are first asked for
+  std::string m_PackedInstances; ///< compressed at the first request
 };
 
 } // namespace deckpitch::direct
--- a/src/direct/weights-supply.cc
+++ b/src/direct/weights-supply.cc
@@ -166,7 +166,7 @@
   }
   m_Source = Source;
   for (const HeardWeights &Each : std::exchange(m_PendingDeclarations, {}))
-    want(Each);
+    onDeclared(Each);
 }
 
 void WeightsSupply::setPool(std::vector<FleetInstance> Pool) {
@@ -178,12 +178,12 @@
     updateCopyPeers();
 }
 
-void WeightsSupply::want(const HeardWeights &Heard) {
-  const DeclaredWeights &Declared = Heard.m_Declared;
+void WeightsSupply::onDeclared(const HeardWeights &Dated) {
+  const DeclaredWeights &Declared = Dated.m_Declared;
   if (!hasSource())
-    return m_PendingDeclarations.push_back(Heard);
+    return m_PendingDeclarations.push_back(Dated);
   if (Declared.m_Model != m_Source.m_Model ||
-      !m_Declared.add(Declared.m_Version, Heard.m_Since))
+      !m_Declared.add(Declared.m_Version, Dated.m_Since))
     return;
   m_Wanted = Declared;
   net::log(Event::WeightsDeclared,
@@ -345,7 +345,7 @@
     co_return;
   // Without a declared version the first one is used.
   if (m_Wanted.m_Version == 0)
-    want({{m_Source.m_Model, FirstVersion}, now()});
+    onDeclared({{m_Source.m_Model, FirstVersion}, now()});
   observe(m_Current);
   retirePrevious();
   const bool IsWanted = m_Current.m_Copy && m_Current.m_Weights == m_Wanted;
@@ -408,7 +408,7 @@
   const std::uint32_t Chunks = Copy->manifest().chunkCount();
   net::log(Event::CopyStarted,
            {{"weights", Weights.m_Text}, {"chunks", std::uint64_t{Chunks}}});
-  // Staging does not say of which version its chunks are: their digests do.
+  // Staging does not record the version of its chunks; their digests show it.
   EngineStatus Staged;
   Staged.m_Staging.push_back({Weights, {}});
   for (std::uint32_t I = 0; I < Chunks; ++I)
--- a/src/direct/weights-supply.h
+++ b/src/direct/weights-supply.h
@@ -52,7 +52,7 @@
   void setSource(const WeightsSource &Source);
   bool hasSource() const { return !m_Source.m_Model.empty(); }
   void setPool(std::vector<FleetInstance> Pool);
-  void want(const HeardWeights &Heard);
+  void onDeclared(const HeardWeights &Dated);
   /// Time until the instance is to load weights that are ready; nothing unless
   /// it still serves older ones.
   std::optional<Duration> timeUntilSwap(const InstanceReport &Report,
