--- a/src/direct/entry-peers.cc
+++ b/src/direct/entry-peers.cc
@@ -9,24 +9,27 @@
 
 namespace {
 
-/// Between two hellos to one entry where entries are few.
-constexpr Duration LeastHelloSpan = std::chrono::milliseconds(300);
-/// For each known entry: each receives at most a hundred hellos a second.
-constexpr Duration HelloSpanPerEntry = std::chrono::milliseconds(10);
-/// Hellos that may be lost in a row before an entry counts as gone.
+/// Between two hellos to one entry in a small fleet.
+constexpr Duration MinHelloInterval = std::chrono::milliseconds(300);
+/// Interval per known entry, so that each receives at most a hundred hellos a
+/// second.
+constexpr Duration HelloIntervalPerEntry = std::chrono::milliseconds(10);
+/// An entry counts as gone after this many hello intervals without one.
 constexpr int MissedHellos = 4;
-/// To an entry that has not been heard: it may be gone for good.
-constexpr Duration SpanToSilent = std::chrono::seconds(3);
-/// Up to so many entries one reads the store for all; where there are more, one
-/// in each data centre: it sends a datagram to each of the others at each read.
-constexpr std::size_t MostInOneGroup = 64;
-/// Entries of a data centre that tell those of others what they know: one of
-/// them may just have failed, and each message crosses the link between
-/// regions.
-constexpr std::size_t TellingFar = 2;
-/// Entries of a caller's own data centre that are enough for it: one of them
-/// may just have failed.
-constexpr std::size_t EnoughNear = 2;
+/// Between two hellos to an entry that has become silent: it may be gone for
+/// good.
+constexpr Duration SilentEntryInterval = std::chrono::seconds(3);
+/// Up to this many entries one reads the store for all; in a larger fleet one
+/// does in each data centre, since it sends a datagram to each of the others
+/// after each read.
+constexpr std::size_t MaxGroupSize = 64;
+/// Number of entries of a data centre that send the digest to others: more than
+/// one, since one may just have failed; few, since each message crosses the
+/// link between regions.
+constexpr std::size_t RemoteDigestSenders = 2;
+/// Number of entries in the caller's data centre that suffices: one of them may
+/// just have failed.
+constexpr std::size_t SufficientLocalEntries = 2;
 
 } // namespace
 
@@ -34,8 +37,8 @@
   if (Listed.m_Id == m_Own.m_Id)
     return;
   Peer &Known = m_Peers[Listed.m_Id];
-  // What an entry says itself is newer than what the store holds.
-  if (!Known.m_WasHeard)
+  // An entry's own hello is newer than its object in the store.
+  if (!Known.m_HasHello)
     Known.m_Address = Listed;
 }
 
@@ -54,28 +57,30 @@
   if (IsBack || Leaves)
     net::log(IsBack ? Event::EntryHeard : Event::EntryLost,
              {{"entry", Id.m_Text}, {"callers", Hello.callers()}});
-  // Answered at once: were the span for silent ones kept, each of two entries
-  // would hear the other too seldom to count it as live, and stay at that span.
+  // Answer at once: at the interval for silent entries, two entries would
+  // receive each other's hellos too rarely to count each other as live, and
+  // would stay at that interval.
   if (!isLive(Known, Now))
     Known.m_NextHello = Now;
   Known.m_Address = {Id, DataCentreId{Hello.data_centre()}, From,
                      Hello.callers()};
-  Known.m_Heard = Now;
-  Known.m_WasHeard = true;
+  Known.m_LastHello = Now;
+  Known.m_HasHello = true;
   Known.m_TakesCallers = Hello.takes_callers();
 }
 
-Duration EntryPeers::helloSpan() const {
+Duration EntryPeers::helloInterval() const {
   const auto Count = static_cast<Duration::rep>(m_Peers.size());
-  return std::max(LeastHelloSpan, HelloSpanPerEntry * Count);
+  return std::max(MinHelloInterval, HelloIntervalPerEntry * Count);
 }
 
 bool EntryPeers::isLive(const Peer &Each, TimePoint Now) const {
-  return Each.m_WasHeard && Now - Each.m_Heard < MissedHellos * helloSpan();
+  return Each.m_HasHello &&
+         Now - Each.m_LastHello < MissedHellos * helloInterval();
 }
 
 DueHellos EntryPeers::dueHellos(TimePoint Now) {
-  const bool TellsFar = ownTurn(Now).m_Near < TellingFar;
+  const bool SendsRemoteDigest = ownTurn(Now).m_Near < RemoteDigestSenders;
   DueHellos Due;
   for (auto &[Id, Each] : m_Peers) {
     const bool IsLive = isLive(Each, Now);
@@ -86,11 +91,13 @@
     }
     if (Now < Each.m_NextHello)
       continue;
-    const bool IsTold = TellsFar || isNear(Each);
-    (IsTold ? Due.m_Telling : Due.m_Plain).push_back(Each.m_Address.m_Link);
-    Each.m_NextHello = Now + (IsLive || !Each.m_WasHeard
-                                  ? helloSpan()
-                                  : std::max(helloSpan(), SpanToSilent));
+    const bool IncludesDigest = SendsRemoteDigest || isNear(Each);
+    (IncludesDigest ? Due.m_Telling : Due.m_Plain)
+        .push_back(Each.m_Address.m_Link);
+    Each.m_NextHello =
+        Now + (IsLive || !Each.m_HasHello
+                   ? helloInterval()
+                   : std::max(helloInterval(), SilentEntryInterval));
   }
   return Due;
 }
@@ -104,7 +111,7 @@
 }
 
 bool EntryPeers::isInGroup(const Peer &Each, TimePoint Now) const {
-  return isLive(Each, Now) && (isNear(Each) || m_Peers.size() < MostInOneGroup);
+  return isLive(Each, Now) && (isNear(Each) || m_Peers.size() < MaxGroupSize);
 }
 
 std::vector<std::string> EntryPeers::group(TimePoint Now,
@@ -140,19 +147,19 @@
 std::vector<std::string> EntryPeers::addressesFor(const DataCentreId &Caller,
                                                   bool IncludeOwn,
                                                   TimePoint Now) const {
-  std::vector<std::string> Near;
+  std::vector<std::string> Local;
   std::vector<std::string> All;
   const auto Add = [&](const EntryAddress &Each) {
     All.push_back(Each.m_Callers);
     if (Each.m_DataCentre == Caller)
-      Near.push_back(Each.m_Callers);
+      Local.push_back(Each.m_Callers);
   };
   if (IncludeOwn)
     Add(m_Own);
   for (const auto &[Id, Each] : m_Peers)
     if (isLive(Each, Now) && Each.m_TakesCallers)
       Add(Each.m_Address);
-  return Near.size() >= EnoughNear ? Near : All;
+  return Local.size() >= SufficientLocalEntries ? Local : All;
 }
 
 } // namespace deckpitch::direct
--- a/src/direct/entry-peers.h
+++ b/src/direct/entry-peers.h
@@ -1,5 +1,5 @@
-// The entries that an entry knows: for callers who ask for addresses, and to
-// share what all entries together may do.
+// The entries that an entry knows: to answer callers who ask for addresses, and
+// to divide limits among all entries.
 #pragma once
 
 #include "deckpitch/id.h"
@@ -14,7 +14,7 @@
 
 namespace deckpitch::direct {
 
-/// Which entries are told what one has learnt.
+/// Which entries receive an update: all of the group, or the local ones.
 enum class NewsReach { All, Near };
 
 /// How an entry is reached.
@@ -27,46 +27,48 @@
   friend bool operator==(const EntryAddress &, const EntryAddress &) = default;
 };
 
-/// Addresses of entries to which hellos are due.
+/// Link addresses of entries to which hellos are due.
 struct DueHellos {
-  /// That are to say what is known of the store too: to all of the own data
-  /// centre, and from its first entries to those of others. Who has missed a
-  /// change hears of it with one of the next few.
+  /// Hellos that include the digest of the store. All entries send it within
+  /// their data centre, and the first entries of each to those of others, so
+  /// that a lost update is noticed within a few hellos.
   std::vector<std::string> m_Telling;
   std::vector<std::string> m_Plain;
 
   friend bool operator==(const DueHellos &, const DueHellos &) = default;
 };
 
-/// An entry lives while its hellos come. No clock and no socket of its own.
+/// Tracks the liveness of entries by their hellos. Has no clock or socket of
+/// its own.
 class EntryPeers {
 public:
   explicit EntryPeers(EntryAddress Own) : m_Own(std::move(Own)) {}
 
-  /// From the store: told where to send hellos to, not that it lives.
+  /// Adds an entry that the store lists: hellos are sent to it, but it is not
+  /// live until one of its own arrives.
   void learn(const EntryAddress &Listed);
   void heard(const wire::LinkMessage &Message, const std::string &From,
              TimePoint Now);
 
-  /// Where hellos are due now; the spans grow with the number of entries, so
-  /// that each receives no more than a hundred a second.
+  /// The hellos that are due now. Intervals grow with the number of entries, so
+  /// that each receives at most a hundred a second.
   DueHellos dueHellos(TimePoint Now);
 
-  /// Entries that take callers, this one included if it does.
+  /// Number of live entries that accept callers, counting this one.
   std::size_t liveCount(TimePoint Now) const;
-  /// Entries that were ever listed or heard, this one included: who is cut off
-  /// still takes callers.
+  /// Number of entries ever listed or received from, including this one: an
+  /// entry cut off by a network failure may still accept callers.
   std::size_t knownCount() const { return 1 + m_Peers.size(); }
-  /// Where to tell what this entry has read from the store: to all that share
-  /// a reader, or to those of them in its own data centre.
+  /// Link addresses of the live entries that share one reader of the store with
+  /// this one, or of those among them in this data centre.
   std::vector<std::string> group(TimePoint Now, NewsReach Reach) const;
-  /// Entries of that group that read the store before this one: those that take
-  /// callers and whose id is smaller.
+  /// Number of entries of the group that read the store before this one: those
+  /// that accept callers and have a smaller id.
   ReadingTurn ownTurn(TimePoint Now) const;
   /// Whether the entry with that link address is in this data centre.
   bool isNear(const std::string &Link) const;
-  /// For a caller in that data centre: the entries there if there are enough
-  /// of them, else all.
+  /// Addresses for a caller in a data centre: the entries there if there are
+  /// enough of them, else all.
   std::vector<std::string> addressesFor(const DataCentreId &Caller,
                                         bool IncludeOwn, TimePoint Now) const;
   const EntryAddress &own() const { return m_Own; }
@@ -75,8 +77,8 @@
   struct Peer {
     EntryAddress m_Address;
     LinkOrder m_Order;
-    TimePoint m_Heard{};
-    bool m_WasHeard = false;
+    TimePoint m_LastHello{};
+    bool m_HasHello = false;
     bool m_TakesCallers = false;
     TimePoint m_NextHello{};
   };
@@ -84,7 +86,7 @@
   bool isLive(const Peer &Each, TimePoint Now) const;
   bool isInGroup(const Peer &Each, TimePoint Now) const;
   bool isNear(const Peer &Each) const;
-  Duration helloSpan() const;
+  Duration helloInterval() const;
 
   EntryAddress m_Own;
   std::map<InstanceId, Peer> m_Peers;
--- a/src/direct/entry-record.cc
+++ b/src/direct/entry-record.cc
@@ -18,7 +18,7 @@
 constexpr int HexBase = 16;
 constexpr std::uint64_t LatestUnixMs = 1ULL << 53U;
 
-/// Hexadecimal: a JSON number of 64 bits is not whole in every reader.
+/// Hexadecimal, since not every JSON parser keeps all bits of a 64-bit number.
 std::string hexOf(std::uint64_t Value) {
   std::array<char, HexDigits> Text{};
   Text.fill('0');
--- a/src/direct/entry-record.h
+++ b/src/direct/entry-record.h
@@ -1,5 +1,5 @@
-// An entry's object in the platform's store: where it is reached, and what is
-// to outlast all entries.
+// An entry's object in the platform's store: its addresses, and state that must
+// survive a restart of all entries.
 #pragma once
 
 #include "deckpitch/error.h"
@@ -13,11 +13,11 @@
 
 namespace deckpitch::direct {
 
-/// A request that is refused since instances were lost under it.
+/// A harmful request: refused, since instances were lost while they ran it.
 struct RefusedRequest {
   RequestFingerprint m_Request;
-  std::vector<std::uint64_t> m_Instances; ///< hashes of their ids
-  std::uint64_t m_LostMs = 0; ///< the last of them, Unix milliseconds
+  std::vector<std::uint64_t> m_Instances; ///< hashes of the lost instances' ids
+  std::uint64_t m_LostMs = 0; ///< when the last was lost, Unix milliseconds
 
   friend bool operator==(const RefusedRequest &,
                          const RefusedRequest &) = default;
@@ -30,7 +30,7 @@
   friend bool operator==(const EntryRecord &, const EntryRecord &) = default;
 };
 
-/// The object's value, and back. Errors: InvalidInput.
+/// Format and parse the object's value. Errors: InvalidInput.
 std::string formatEntry(const EntryRecord &Value);
 Result<EntryRecord> parseEntry(std::string_view Name, std::string_view Json);
 
--- a/src/direct/state-link.cc
+++ b/src/direct/state-link.cc
@@ -49,8 +49,8 @@
         if (Ec == asio::error::operation_aborted)
           return;
         wire::LinkMessage Message;
-        // A refused port shows as an error of the next read; what cannot be
-        // parsed is another program's.
+        // A refused port is reported as an error of the next read; a datagram
+        // that cannot be parsed comes from another program.
         if (!Ec &&
             Message.ParseFromArray(m_Buffer.data(), static_cast<int>(Bytes)))
           m_OnMessage(Message, textOf(m_From));
@@ -69,7 +69,7 @@
           daemon::now().time_since_epoch())
           .count()));
   const std::string Bytes = Message.SerializeAsString();
-  boost::system::error_code Ignored; // The next message makes up for it.
+  boost::system::error_code Ignored; // The next message replaces a lost one.
   m_Socket.send_to(asio::buffer(Bytes), *Endpoint, 0, Ignored);
 }
 
@@ -79,38 +79,40 @@
 }
 
 bool LinkOrder::isNewer(const wire::LinkMessage &Message) {
-  const bool IsSameLife = Message.incarnation() == m_Incarnation;
-  if (IsSameLife) {
-    m_Other.reset();
+  const bool IsSameIncarnation = Message.incarnation() == m_Incarnation;
+  if (IsSameIncarnation) {
+    m_Candidate.reset();
     if (Message.sequence() <= m_Sequence)
       return false;
-  } else if (!isNext(Message) && !hasProvedToLive(Message)) {
+  } else if (!isNewerIncarnation(Message) && !hasProvedLive(Message)) {
     return false;
   }
   if (Message.incarnation() < m_Incarnation)
-    m_Former = m_Incarnation;
-  m_Other.reset();
+    m_Replaced = m_Incarnation;
+  m_Candidate.reset();
   m_Incarnation = Message.incarnation();
   m_Sequence = Message.sequence();
   return true;
 }
 
-/// Late words of a larger life that was left must not bring it back.
-bool LinkOrder::isNext(const wire::LinkMessage &Message) const {
+/// Whether the incarnation is newer without proof. Late messages of a larger
+/// one that a smaller one replaced must not bring it back.
+bool LinkOrder::isNewerIncarnation(const wire::LinkMessage &Message) const {
   return Message.incarnation() > m_Incarnation &&
-         Message.incarnation() != m_Former;
+         Message.incarnation() != m_Replaced;
 }
 
-/// By the sender's clock: what waited here while this process was paused is
-/// read at one moment of the own one.
-bool LinkOrder::hasProvedToLive(const wire::LinkMessage &Message) {
-  if (!m_Other || m_Other->m_Incarnation != Message.incarnation()) {
-    m_Other = Other{Message.incarnation(), Message.sent_us()};
+/// Measured on the sender's clock: messages that queued here during a pause of
+/// this process are all read at the same local time.
+bool LinkOrder::hasProvedLive(const wire::LinkMessage &Message) {
+  if (!m_Candidate || m_Candidate->m_Incarnation != Message.incarnation()) {
+    m_Candidate = Candidate{Message.incarnation(), Message.sent_us()};
     return false;
   }
   const auto Proof =
-      std::chrono::duration_cast<std::chrono::microseconds>(LifeProof).count();
-  const std::uint64_t First = m_Other->m_FirstSentUs;
+      std::chrono::duration_cast<std::chrono::microseconds>(LivenessProof)
+          .count();
+  const std::uint64_t First = m_Candidate->m_FirstSentUs;
   return Message.sent_us() >= First &&
          Message.sent_us() - First >= static_cast<std::uint64_t>(Proof);
 }
--- a/src/direct/state-link.h
+++ b/src/direct/state-link.h
@@ -1,5 +1,5 @@
-// Datagrams between entries and agents: short-lived state, each message
-// replacing what the same sender said before.
+// Datagrams between entries and agents that carry short-lived state; each
+// message replaces the sender's previous one.
 #pragma once
 
 #include "deckpitch/error.h"
@@ -20,8 +20,8 @@
 
 namespace asio = boost::asio;
 
-/// Datagrams rather than queued messages: a peer that cannot be reached must
-/// not be sent old state when it returns.
+/// Sends and receives datagrams. Messages are not queued: a peer that was
+/// unreachable must not receive old state when it returns.
 class StateLink {
 public:
   using OnMessage = std::function<void(const wire::LinkMessage &Message,
@@ -31,7 +31,7 @@
 
   /// Errors: InvalidInput, Unavailable.
   Result<void> listen(const std::string &Address, OnMessage Call);
-  /// Dropped when it cannot be sent at once.
+  /// Sends a message, or drops it if that is not possible at once.
   void send(const std::string &To, wire::LinkMessage Message);
   void stop();
 
@@ -48,37 +48,38 @@
   std::uint64_t m_Sequence = 0;
 };
 
-/// For so long, by its own clock, another life of the sender must have spoken
-/// with no word of the known one between. Longer than a full link delays a
-/// datagram: what a dead process sent in its last two seconds may come after
-/// the first word of the next one, and spans less. Shorter than the time
-/// between two hellos to an entry that is not heard, so that the second one
-/// counts.
-inline constexpr Duration LifeProof = std::chrono::milliseconds(2'500);
-
-/// Tells late datagrams of one sender from new ones. Lives are told apart by
-/// their incarnation, which is the time of a clock that may be set back before
-/// a start, or have been wrong before: a larger one is a newer life at once, a
-/// smaller one, or one that another has followed, when it has proved to live.
+/// Another incarnation of a sender is accepted when its messages span this time
+/// on its own clock with none of the known incarnation between. Longer than a
+/// full link delays a datagram: what a dead process sent in its last two
+/// seconds may arrive after the first message of the next one, but spans less.
+/// Shorter than the interval of hellos to a silent entry, so that the second
+/// one is accepted.
+inline constexpr Duration LivenessProof = std::chrono::milliseconds(2'500);
+
+/// Distinguishes late datagrams of one sender from new ones. An incarnation is
+/// the time of its start by a clock that may have been set back or wrong
+/// before: a larger one is accepted at once; a smaller one, or one that a
+/// smaller one has replaced, only after its messages have spanned
+/// LivenessProof.
 class LinkOrder {
 public:
   /// Whether the message is newer than all before it.
   bool isNewer(const wire::LinkMessage &Message);
 
 private:
-  /// A life that is not known to be newer than the one in force.
-  struct Other {
+  /// An incarnation not known to be newer than the accepted one.
+  struct Candidate {
     std::uint64_t m_Incarnation = 0;
-    std::uint64_t m_FirstSentUs = 0; ///< by that life's clock
+    std::uint64_t m_FirstSentUs = 0; ///< by the sender's clock
   };
 
-  bool isNext(const wire::LinkMessage &Message) const;
-  bool hasProvedToLive(const wire::LinkMessage &Message);
+  bool isNewerIncarnation(const wire::LinkMessage &Message) const;
+  bool hasProvedLive(const wire::LinkMessage &Message);
 
   std::uint64_t m_Incarnation = 0;
   std::uint64_t m_Sequence = 0;
-  std::uint64_t m_Former = 0; ///< the last one that a smaller one followed
-  std::optional<Other> m_Other;
+  std::uint64_t m_Replaced = 0; ///< the last one that a smaller one replaced
+  std::optional<Candidate> m_Candidate;
 };
 
 } // namespace deckpitch::direct
--- a/test/entry-peers-test.cc
+++ b/test/entry-peers-test.cc
@@ -12,8 +12,8 @@
   return {{Id}, {DataCentre}, "link-" + Id, "callers-" + Id};
 }
 
-/// Entries that tell each other hellos over links that can be cut, on a clock
-/// of their own.
+/// Entries that send each other hellos over links that can be cut, on a
+/// simulated clock.
 class EntryHellos : public testing::Test {
 protected:
   struct Entry {
@@ -30,7 +30,7 @@
     return *m_Entries.back();
   }
 
-  void tell(Entry &From, const std::string &To) {
+  void sendHello(Entry &From, const std::string &To) {
     wire::LinkMessage Message;
     Message.set_incarnation(1);
     Message.set_sequence(++From.m_Sequence);
@@ -50,13 +50,13 @@
     return Due.m_Telling;
   }
 
-  /// False when some entry did not know all others at some moment.
+  /// Returns whether all entries counted all others as live throughout.
   bool run(Duration Length) {
     bool KnewAll = true;
     for (const TimePoint End = m_Now + Length; m_Now < End; m_Now += 100ms) {
       for (const auto &Each : m_Entries)
         for (const std::string &To : allOf(Each->m_Peers.dueHellos(m_Now)))
-          tell(*Each, To);
+          sendHello(*Each, To);
       for (const auto &Each : m_Entries)
         KnewAll = KnewAll && Each->m_Peers.liveCount(m_Now) == m_Entries.size();
     }
@@ -68,7 +68,7 @@
   bool m_IsCut = false;
 };
 
-TEST_F(EntryHellos, StayKnownAfterACutHasEnded) {
+TEST_F(EntryHellos, EntriesAreLiveAgainAfterACut) {
   for (const char *Id : {"e1", "e2", "e3"})
     add(Id);
   run(2s);
@@ -81,7 +81,7 @@
   EXPECT_TRUE(run(20s));
 }
 
-TEST_F(EntryHellos, GiveEachEntryATurnOfItsOwn) {
+TEST_F(EntryHellos, EachEntryHasARankOfItsOwn) {
   Entry &Second = add("e2");
   Entry &First = add("e1");
   Entry &Third = add("e3");
@@ -96,7 +96,7 @@
   EXPECT_EQ(Third.m_Peers.ownTurn(m_Now), (ReadingTurn{0, 0}));
 }
 
-TEST_F(EntryHellos, TellWhoIsNearAndWhoComesFirstThere) {
+TEST_F(EntryHellos, LocalEntriesAreRankedPerDataCentre) {
   add("e1", "a");
   Entry &Second = add("e2", "b");
   Entry &Third = add("e3", "a");
@@ -113,7 +113,7 @@
   EXPECT_FALSE(Fourth.m_Peers.isNear("link-unknown"));
 }
 
-TEST_F(EntryHellos, ReadTogetherOnlyWithinADataCentreWhereTheyAreMany) {
+TEST_F(EntryHellos, LargeFleetsShareReadsOnlyWithinADataCentre) {
   constexpr int OfEach = 40;
   for (int I = 0; I < OfEach; ++I) {
     add("a" + std::to_string(I), "a");
@@ -122,7 +122,7 @@
   run(3s);
   EXPECT_EQ(m_Entries.front()->m_Peers.group(m_Now, NewsReach::All).size(),
             OfEach - 1U);
-  // "b0": all of the other data centre have smaller ids, and do not count.
+  // "b0": all ids of the other data centre are smaller but do not count.
   EXPECT_EQ(m_Entries[1]->m_Peers.ownTurn(m_Now), (ReadingTurn{0, 0}));
 }
 
--- a/test/entry-record-test.cc
+++ b/test/entry-record-test.cc
@@ -9,7 +9,7 @@
 
 const EntryAddress Address{{"e-1"}, {"a"}, "10.0.0.1:1", "10.0.0.1:2"};
 
-TEST(EntryRecord, IsReadAsItWasWritten) {
+TEST(EntryRecord, RoundTrips) {
   const RefusedRequest Refused{
       {0xfedcba9876543210, 0x1f}, {1, 0xffffffffffffffff}, 1'790'000'000'123};
   for (const EntryRecord &Each :
@@ -21,7 +21,7 @@
   }
 }
 
-TEST(EntryRecord, NamesWhatIsWrong) {
+TEST(EntryRecord, RejectsMalformedObjects) {
   for (const char *Bad :
        {R"([])", R"({"dataCentre":"a","link":"l"})",
         R"({"dataCentre":"a","link":"l","callers":"c","refused":3})",
