--- a/src/direct/process.cc
+++ b/src/direct/process.cc
@@ -1,5 +1,5 @@
-// What every process of a fleet does around its role: signals, settings that
-// change, logs, metrics, state dump.
+// What every process of a fleet does besides its role: signals, reload of
+// settings, logs, metrics, state dump.
 #include "direct/adapter.h"
 #include "direct/role.h"
 #include "net/adapters.h"
@@ -22,7 +22,7 @@
 
 namespace {
 
-/// How long a line may wait before it is written.
+/// How long a log line may be buffered.
 constexpr std::chrono::milliseconds FlushSpan{100};
 constexpr std::size_t OperatorConnections = 64;
 
@@ -147,8 +147,8 @@
     }
   }
 
-  /// No workers: one loop, so that a small machine pays for no hand-over
-  /// between threads.
+  /// No worker threads: a single loop avoids the cost of hand-over between
+  /// threads on small instances.
   net::IoThreads m_Threads{0};
   DirectContext m_Context;
   std::string m_Path;
--- a/src/direct/role.h
+++ b/src/direct/role.h
@@ -1,4 +1,5 @@
-// A process of a fleet whose entries call the instances themselves.
+// The role of a process, entry or agent, in a fleet whose entries call the
+// instances directly.
 #pragma once
 
 #include "deckpitch/direct-settings.h"
@@ -12,7 +13,7 @@
 
 namespace deckpitch::direct {
 
-/// What the process does; runs on the control loop only.
+/// What the process does. Runs on the control loop only.
 class DirectRole {
 public:
   DirectRole() = default;
@@ -22,15 +23,16 @@
 
   /// Errors: InvalidInput, Unavailable.
   virtual Result<void> start() = 0;
-  /// The settings were read again; what can change while running does.
+  /// Applies the settings that can change at runtime.
   virtual void apply(const DirectSettings &Settings) = 0;
-  /// Takes nothing new. OnDone is called when all that was taken has ended.
+  /// Accepts no new requests and calls OnDone when all accepted ones have
+  /// ended.
   virtual void drain(std::function<void()> OnDone) = 0;
   virtual void stop() = 0;
   virtual boost::json::object dump() const = 0;
 };
 
-/// Role and address of the operators' interface; what both roles share.
+/// What both roles share.
 struct DirectContext {
   net::IoThreads &m_Threads;
   DirectSettings m_Settings;
@@ -40,7 +42,7 @@
 std::unique_ptr<DirectRole> makeEntry(DirectContext &Context);
 std::unique_ptr<DirectRole> makeAgent(DirectContext &Context);
 
-/// Runs until a stop signal; gives the exit code.
+/// Runs the process until a stop signal; returns the exit code.
 int runDirect(DirectSettings Settings, const std::string &SettingsPath);
 
 } // namespace deckpitch::direct
