--- a/src/direct/entry-peers.cc
+++ b/src/direct/entry-peers.cc
@@ -15,7 +15,7 @@
 /// second.
 constexpr Duration HelloIntervalPerEntry = std::chrono::milliseconds(10);
 /// An entry counts as gone after this many hello intervals without one.
-constexpr int MissedHellos = 4;
+constexpr int MaxMissedHellos = 4;
 /// Between two hellos to an entry that has become silent: it may be gone for
 /// good.
 constexpr Duration SilentEntryInterval = std::chrono::seconds(3);
@@ -76,7 +76,7 @@
 
 bool EntryPeers::isLive(const Peer &Each, TimePoint Now) const {
   return Each.m_HasHello &&
-         Now - Each.m_LastHello < MissedHellos * helloInterval();
+         Now - Each.m_LastHello < MaxMissedHellos * helloInterval();
 }
 
 DueHellos EntryPeers::dueHellos(TimePoint Now) {
--- a/src/direct/fleet-follower.cc
+++ b/src/direct/fleet-follower.cc
@@ -28,7 +28,7 @@
 /// Share of the bound for which an entry relies on others' reads. The rest is
 /// for the ranks before it and its own read. Longer than one watch, so that the
 /// first entry confirms in time.
-constexpr double RelianceShare = 0.42;
+constexpr double MaxRelianceShare = 0.42;
 /// If nobody read the store for longer than this, or this entry has just
 /// started, the store counts as unavailable for all meanwhile, and a new
 /// version counts as declared when it is received. Otherwise all instances
@@ -49,13 +49,13 @@
 /// Logged as the source of a declaration.
 const std::string StoreSource = "store";
 
-Duration reliance(Duration Bound) {
+Duration maxReliance(Duration Bound) {
   return Duration(static_cast<Duration::rep>(
-      RelianceShare * static_cast<double>(Bound.count())));
+      MaxRelianceShare * static_cast<double>(Bound.count())));
 }
 
 ReadingPlan planFor(Duration Bound, Duration Every) {
-  const Duration TakeOver = reliance(Bound);
+  const Duration TakeOver = maxReliance(Bound);
   return {Every, TakeOver, RankDelay, MaxRankDelay, TakeOver + StaleMargin};
 }
 
@@ -81,7 +81,8 @@
       m_Kinds(Adapter.kinds()),
       m_Declarations{
           m_Kinds.m_Declarations,
-          SharedReading(planFor(Bounds.m_Apply, reliance(Bounds.m_Apply) / 2)),
+          SharedReading(
+              planFor(Bounds.m_Apply, maxReliance(Bounds.m_Apply) / 2)),
           {},
           asio::steady_timer(Io),
           false,
@@ -98,7 +99,8 @@
           [this] { return fetchAnnounced(); }},
       m_WeightVersions{
           m_Kinds.m_Weights,
-          SharedReading(planFor(Bounds.m_Apply, reliance(Bounds.m_Apply) / 2)),
+          SharedReading(
+              planFor(Bounds.m_Apply, maxReliance(Bounds.m_Apply) / 2)),
           {},
           asio::steady_timer(Io),
           false,
@@ -141,15 +143,15 @@
 
 /// Waits until this entry is to read. An update that confirms the cached view
 /// postpones that; one that announces a change cancels the timer.
-asio::awaitable<void> FleetFollower::untilDue(SharedReading &Reading,
-                                              asio::steady_timer &Wake) {
+asio::awaitable<void> FleetFollower::waitUntilDue(SharedReading &Reading,
+                                                  asio::steady_timer &Wake) {
   while (!m_Stopped && now() < Reading.due()) {
     Wake.expires_after(Reading.due() - now());
     co_await Wake.async_wait(UseAwaitable);
   }
 }
 
-Duration FleetFollower::retryAfter(unsigned Failures) {
+Duration FleetFollower::retryDelay(unsigned Failures) {
   return jittered(std::min(backOff(Failures), MaxRetryDelay), m_Random);
 }
 
@@ -203,14 +205,14 @@
     const bool Watches = Of.m_Reading.isFirst() && !Of.m_Reading.isBehind() &&
                          !Of.m_MustRead && Of.m_Seen.m_Value != 0;
     if (!Watches)
-      co_await untilDue(Of.m_Reading, Of.m_Wake);
+      co_await waitUntilDue(Of.m_Reading, Of.m_Wake);
     if (m_Stopped)
       break;
     const bool Succeeded =
         Watches ? co_await watchOnce(Of) : co_await readOnce(Of);
     Failures = Succeeded ? 0 : Failures + 1;
     if (!Succeeded)
-      co_await pause(retryAfter(Failures));
+      co_await pause(retryDelay(Failures));
   }
 }
 
@@ -232,7 +234,7 @@
   const TimePoint Asked = now();
   const auto Changed = co_await m_Store.changes(Of.m_Kind, Of.m_Seen);
   if (Changed || Changed.error().m_Code != ErrorCode::NotFound)
-    co_return takeRead(Of, Changed, Asked, "changes of ");
+    co_return handleRead(Of, Changed, Asked, "changes of ");
   Of.m_Seen = {};
   co_return co_await listOnce(Of);
 }
@@ -241,7 +243,7 @@
 asio::awaitable<bool> FleetFollower::listOnce(FollowedKind &Of) {
   const TimePoint Asked = now();
   const auto List = co_await m_Store.list(Of.m_Kind);
-  co_return takeRead(Of, List, Asked, "list ");
+  co_return handleRead(Of, List, Asked, "list ");
 }
 
 /// Another version may have been announced while an older one was in transit.
@@ -250,9 +252,9 @@
     m_Declarations.m_Reading.noteBehind(now(), Duration::zero());
 }
 
-bool FleetFollower::takeRead(FollowedKind &Of,
-                             const Outcome<net::PlatformList> &Read,
-                             TimePoint Asked, const std::string &Call) {
+bool FleetFollower::handleRead(FollowedKind &Of,
+                               const Outcome<net::PlatformList> &Read,
+                               TimePoint Asked, const std::string &Call) {
   logStoreAvailability(Call + Of.m_Kind, detail::faultOf(Read));
   logSlowRead(Of.m_Kind, Asked, m_Bounds.m_Apply, Read ? bytesOf(*Read) : 0);
   if (!Read)
--- a/src/direct/fleet-follower.h
+++ b/src/direct/fleet-follower.h
@@ -137,18 +137,18 @@
   asio::awaitable<bool> refreshOnce(FollowedKind &Of);
   asio::awaitable<bool> listOnce(FollowedKind &Of);
   asio::awaitable<bool> fetchAnnounced();
-  bool takeRead(FollowedKind &Of, const Outcome<net::PlatformList> &Read,
-                TimePoint Asked, const std::string &Call);
+  bool handleRead(FollowedKind &Of, const Outcome<net::PlatformList> &Read,
+                  TimePoint Asked, const std::string &Call);
   asio::awaitable<void> pollInstances();
   asio::awaitable<bool> readInstances();
   asio::awaitable<bool> fetchAnnouncedInstances();
-  asio::awaitable<bool> askHolder(std::string Link, Revision Has);
+  asio::awaitable<bool> fetchFromHolder(std::string Link, Revision Has);
   void noteInstancesAnnounced(Revision At, const NewsOrigin &From,
                               TimePoint Now);
   void confirmIfCertain(SharedReading &Reading, const ToldReading &Told,
                         TimePoint Now);
-  asio::awaitable<void> untilDue(SharedReading &Reading,
-                                 asio::steady_timer &Wake);
+  asio::awaitable<void> waitUntilDue(SharedReading &Reading,
+                                     asio::steady_timer &Wake);
   asio::awaitable<void> pause(Duration Length);
   void checkForPause();
   bool wasPausedSince(TimePoint Time);
@@ -169,7 +169,7 @@
   void applyDeclaration(const net::PlatformObject &Object,
                         const std::string &Source);
   void applyWeights(const net::PlatformObject &Object);
-  bool takeInstances(const Outcome<net::PlatformList> &List, TimePoint AsOf);
+  bool handleInstances(const Outcome<net::PlatformList> &List, TimePoint AsOf);
   void adoptInstances(InstanceList Listed, Revision At, const ListTimes &AsOf);
   void keepInstances(Revision At, const ListTimes &AsOf);
   void noteInstancesAsOf(Revision At, const ListTimes &AsOf);
@@ -179,7 +179,7 @@
   void logChanges(const InstanceList &Now);
   void logStoreAvailability(const std::string &Call,
                             std::optional<Error> Fault);
-  Duration retryAfter(unsigned Failures);
+  Duration retryDelay(unsigned Failures);
 
   asio::io_context &m_Io;
   net::HttpClient &m_Http;
--- a/src/direct/fleet-instances.cc
+++ b/src/direct/fleet-instances.cc
@@ -25,7 +25,7 @@
 asio::awaitable<void> FleetFollower::pollInstances() {
   unsigned Failures = 0;
   while (!m_Stopped) {
-    co_await untilDue(m_Instances, m_InstancesWake);
+    co_await waitUntilDue(m_Instances, m_InstancesWake);
     if (m_Stopped)
       break;
     const NewsReach Reach =
@@ -34,7 +34,7 @@
     const bool Succeeded = co_await readInstances();
     Failures = Succeeded ? 0 : Failures + 1;
     if (!Succeeded)
-      co_await pause(retryAfter(Failures));
+      co_await pause(retryDelay(Failures));
     else
       publishInstances(changeBetween(Before, m_Read), Reach);
   }
@@ -73,16 +73,17 @@
   const TimePoint Asked = now();
   const auto List = co_await m_Store.list(m_Kinds.m_Instances);
   logSlowRead(m_Kinds.m_Instances, Asked, m_Bounds.m_Drain, 0);
-  co_return takeInstances(List, Asked);
+  co_return handleInstances(List, Asked);
 }
 
 asio::awaitable<bool> FleetFollower::listOldInstances() {
   const TimePoint Asked = now();
-  co_return takeInstances(co_await m_Store.listOld(m_Kinds.m_Instances), Asked);
+  co_return handleInstances(co_await m_Store.listOld(m_Kinds.m_Instances),
+                            Asked);
 }
 
-bool FleetFollower::takeInstances(const Outcome<net::PlatformList> &List,
-                                  TimePoint AsOf) {
+bool FleetFollower::handleInstances(const Outcome<net::PlatformList> &List,
+                                    TimePoint AsOf) {
   logStoreAvailability("list " + m_Kinds.m_Instances, detail::faultOf(List));
   // A time-out that passed while this process was paused is no outage of the
   // store: otherwise instances that left meanwhile would be kept.
--- a/src/direct/fleet-news.cc
+++ b/src/direct/fleet-news.cc
@@ -160,13 +160,14 @@
     if (!IsOther)
       break;
     Last = Next->m_Link;
-    Succeeded = co_await askHolder(Next->m_Link, Next->m_Has);
+    Succeeded = co_await fetchFromHolder(Next->m_Link, Next->m_Has);
   }
   co_return Succeeded;
 }
 
 /// Whether the holder provided at least the revision that it announced.
-asio::awaitable<bool> FleetFollower::askHolder(std::string Link, Revision Has) {
+asio::awaitable<bool> FleetFollower::fetchFromHolder(std::string Link,
+                                                     Revision Has) {
   const bool Succeeded = co_await fetchInstancesFrom(Link);
   if (Succeeded && m_ReadRevision >= Has)
     co_return true;
--- a/src/direct/process.cc
+++ b/src/direct/process.cc
@@ -23,8 +23,8 @@
 namespace {
 
 /// How long a log line may be buffered.
-constexpr std::chrono::milliseconds FlushSpan{100};
-constexpr std::size_t OperatorConnections = 64;
+constexpr std::chrono::milliseconds FlushInterval{100};
+constexpr std::size_t MaxOperatorConnections = 64;
 
 class Runner {
 public:
@@ -81,7 +81,7 @@
               {"link", Listen.m_Link},
               {"incarnation", m_Context.m_Incarnation}});
     waitForSignal();
-    flushLater();
+    scheduleFlush();
     return true;
   }
 
@@ -119,13 +119,13 @@
     m_Role->drain([this] { m_Done.set_value(); });
   }
 
-  void flushLater() {
-    m_Flush.expires_after(FlushSpan);
+  void scheduleFlush() {
+    m_Flush.expires_after(FlushInterval);
     m_Flush.async_wait([this](const boost::system::error_code &Ec) {
       if (Ec)
         return;
       net::flushLog();
-      flushLater();
+      scheduleFlush();
     });
   }
 
@@ -167,7 +167,7 @@
 
   static net::HttpLimits operatorLimits() {
     net::HttpLimits Limits;
-    Limits.m_Connections = OperatorConnections;
+    Limits.m_Connections = MaxOperatorConnections;
     return Limits;
   }
 };
--- a/src/direct/state-link.h
+++ b/src/direct/state-link.h
@@ -38,11 +38,11 @@
 private:
   void receive();
 
-  static constexpr std::size_t MostBytes = 8 * 1024;
+  static constexpr std::size_t MaxDatagramBytes = 8 * 1024;
 
   asio::ip::udp::socket m_Socket;
   asio::ip::udp::endpoint m_From;
-  std::array<char, MostBytes> m_Buffer{};
+  std::array<char, MaxDatagramBytes> m_Buffer{};
   OnMessage m_OnMessage;
   std::uint64_t m_Incarnation;
   std::uint64_t m_Sequence = 0;
--- a/src/direct/store-relay.cc
+++ b/src/direct/store-relay.cc
@@ -39,14 +39,15 @@
                                       1'000,
                                       true};
 
-std::uint64_t numberIn(const std::string &Text) {
+std::uint64_t parseNumber(const std::string &Text) {
   std::uint64_t Value = 0;
   std::from_chars(Text.data(), Text.data() + Text.size(), Value);
   return Value;
 }
 
-Error notHeld(unsigned Status) {
-  return {ErrorCode::NotFound, "the holder answered " + std::to_string(Status)};
+Error notHeldError(unsigned Status) {
+  return {ErrorCode::NotFound,
+          "the other process answered " + std::to_string(Status)};
 }
 
 asio::awaitable<Outcome<std::string>>
@@ -58,7 +59,7 @@
   if (!Answer)
     co_return Answer.error();
   if (Answer->m_Status != StatusOk)
-    co_return notHeld(Answer->m_Status);
+    co_return notHeldError(Answer->m_Status);
   co_return std::move(Answer->m_Body);
 }
 
@@ -197,7 +198,7 @@
 /// Null if the held declaration is older than the requested version.
 const std::string *
 StoreRelay::declarationBody(const net::HttpRequest &Request) {
-  const std::uint64_t Wanted = numberIn(Request.query("version"));
+  const std::uint64_t Wanted = parseNumber(Request.query("version"));
   if (m_Declaration.m_Version == 0 || m_Declaration.m_Version < Wanted)
     return nullptr;
   if (m_DeclarationBody.empty()) {
@@ -208,7 +209,7 @@
 }
 
 std::string StoreRelay::instancesBody(const net::HttpRequest &Request) {
-  if (numberIn(Request.query("known")) == m_Fingerprint)
+  if (parseNumber(Request.query("known")) == m_Fingerprint)
     return formatRelayed(m_Instances, m_Fingerprint, "", daemon::now());
   if (m_PackedInstances.empty())
     m_PackedInstances = packInstances(m_Instances.m_List, m_Fingerprint);
--- a/src/direct/weights-supply.cc
+++ b/src/direct/weights-supply.cc
@@ -27,7 +27,7 @@
 constexpr Duration ManifestRetry = milliseconds(300);
 /// How long the instance's report may not show a load order yet.
 constexpr Duration LoadOrderSettleTime = milliseconds(700);
-constexpr Duration HelloTimeout = std::chrono::seconds(2);
+constexpr Duration PeerHelloTimeout = std::chrono::seconds(2);
 /// Slower peers finish an older version within this time; after that its chunks
 /// only use memory.
 constexpr Duration PreviousCopyLifetime = std::chrono::seconds(5);
@@ -40,19 +40,19 @@
 /// Twice the time a chunk takes on a sound link with this many in flight. On a
 /// link of 1.2 Mbit/s requests queued for 3.5 s behind the chunks in flight,
 /// past the bound of the version that the requests named.
-constexpr Duration ChunkTimeout = milliseconds(600);
+constexpr Duration TargetChunkTime = milliseconds(600);
 /// Offers and chunks in flight to peers at once. Some offers are declined, and
 /// the link must not idle meanwhile; but requests for the instance queue behind
 /// what is in flight. With six, 1 in 13 answers during a copy was late and the
 /// copy took 3.4 s; with four, 1 in 50 and 3.7 s (20 instances, links of
 /// 7.6 Mbit/s).
-constexpr std::uint32_t Uploads = 4;
-constexpr std::uint32_t Expected = 4;
+constexpr std::uint32_t MaxUploads = 4;
+constexpr std::uint32_t MaxExpected = 4;
 /// Number of local peers for each remote peer in the order of connecting,
 /// besides the remote peers that read imported chunks.
 constexpr std::size_t LocalPeersPerRemote = 4;
 /// About the time of one chunk over a link of 7.6 Mbit/s.
-constexpr Duration DeclineRest = milliseconds(20);
+constexpr Duration DeclineBackOff = milliseconds(20);
 /// A copy without progress for this long logs what it waits for, and again each
 /// time this passes: over sound links a whole copy takes no longer.
 constexpr Duration StallLogInterval = std::chrono::seconds(2);
@@ -69,10 +69,10 @@
   Out.m_OriginStep = Pacing.m_Step;
   Out.m_OriginPace = Pacing.m_Chunk;
   Out.m_SoleHolderWait = SoleHolderWait;
-  Out.m_ChunkPatience = ChunkTimeout;
-  Out.m_Uploads = Uploads;
-  Out.m_Expected = Expected;
-  Out.m_DeclineRest = DeclineRest;
+  Out.m_ChunkPatience = TargetChunkTime;
+  Out.m_Uploads = MaxUploads;
+  Out.m_Expected = MaxExpected;
+  Out.m_DeclineRest = DeclineBackOff;
   return Out;
 }
 
@@ -456,13 +456,13 @@
     net::tuneBulkSocket(Socket);
     auto Connection = std::make_shared<BulkConnection>(std::move(Socket));
     Connection->start();
-    asio::co_spawn(m_Io, greet(std::move(Connection)), asio::detached);
+    asio::co_spawn(m_Io, acceptHello(std::move(Connection)), asio::detached);
   }
 }
 
 asio::awaitable<void>
-WeightsSupply::greet(std::shared_ptr<BulkConnection> Connection) {
-  asio::steady_timer Limit(m_Io, HelloTimeout);
+WeightsSupply::acceptHello(std::shared_ptr<BulkConnection> Connection) {
+  asio::steady_timer Limit(m_Io, PeerHelloTimeout);
   Limit.async_wait([Connection](const boost::system::error_code &Ec) {
     if (!Ec)
       Connection->close();
--- a/src/direct/weights-supply.h
+++ b/src/direct/weights-supply.h
@@ -87,7 +87,7 @@
   Result<void> listen();
   boost::asio::awaitable<void> acceptPeers();
   boost::asio::awaitable<void>
-  greet(std::shared_ptr<daemon::BulkConnection> Connection);
+  acceptHello(std::shared_ptr<daemon::BulkConnection> Connection);
   boost::asio::awaitable<void> startCopy();
   boost::asio::awaitable<void> orderLoad(const Copy &Of);
   bool mayStartCopy() const;
