--- a/src/direct/process.cc
+++ b/src/direct/process.cc
@@ -1,5 +1,5 @@
-// What every process of a fleet does around its role: signals, settings that
-// change, logs, metrics, state dump.
+// What every process of a fleet does besides its role: signals, reload of
+// settings, logs, metrics, state dump.
 #include "direct/adapter.h"
 #include "direct/role.h"
 #include "net/adapters.h"
@@ -22,9 +22,9 @@
 
 namespace {
 
-/// How long a line may wait before it is written.
-constexpr std::chrono::milliseconds FlushSpan{100};
-constexpr std::size_t OperatorConnections = 64;
+/// How long a log line may be buffered.
+constexpr std::chrono::milliseconds FlushInterval{100};
+constexpr std::size_t MaxOperatorConnections = 64;
 
 class Runner {
 public:
@@ -81,7 +81,7 @@
               {"link", Listen.m_Link},
               {"incarnation", m_Context.m_Incarnation}});
     waitForSignal();
-    flushLater();
+    scheduleFlush();
     return true;
   }
 
@@ -119,13 +119,13 @@
     m_Role->drain([this] { m_Done.set_value(); });
   }
 
-  void flushLater() {
-    m_Flush.expires_after(FlushSpan);
+  void scheduleFlush() {
+    m_Flush.expires_after(FlushInterval);
     m_Flush.async_wait([this](const boost::system::error_code &Ec) {
       if (Ec)
         return;
       net::flushLog();
-      flushLater();
+      scheduleFlush();
     });
   }
 
@@ -147,8 +147,8 @@
     }
   }
 
-  /// No workers: one loop, so that a small machine pays for no hand-over
-  /// between threads.
+  /// No worker threads: a single loop avoids the cost of hand-over between
+  /// threads on small instances.
   net::IoThreads m_Threads{0};
   DirectContext m_Context;
   std::string m_Path;
@@ -167,7 +167,7 @@
 
   static net::HttpLimits operatorLimits() {
     net::HttpLimits Limits;
-    Limits.m_Connections = OperatorConnections;
+    Limits.m_Connections = MaxOperatorConnections;
     return Limits;
   }
 };
