--- a/src/direct/entry-attempts.cc
+++ b/src/direct/entry-attempts.cc
@@ -1,5 +1,4 @@
-// One attempt at a request: sending it to an instance, and passing on what
-// comes of it.
+// One attempt at a request: sends it to an instance and forwards the answer.
 #include "direct/entry-call.h"
 #include "net/log.h"
 #include "net/metrics.h"
@@ -16,71 +15,72 @@
 
 namespace {
 
-/// A connection within a region takes some milliseconds; an instance that does
-/// not take it by then is gone or buried.
-constexpr milliseconds ConnectLimit{250};
-/// A kept connection that rested longer may just be closing, and what is sent
-/// on it then counts as sent.
-constexpr milliseconds MostIdle{4'000};
-/// Requests that run at most once take fresher connections: for them a closed
-/// one cannot be made good.
-constexpr milliseconds MostIdleOnce{1'000};
-/// An idempotent call of a plain service that takes this many objectives is
-/// better repeated elsewhere.
-constexpr int PlainObjectives = 3;
+/// A connection within a region takes some milliseconds; an instance that has
+/// not accepted it by then is down or overloaded.
+constexpr milliseconds ConnectTimeout{250};
+/// A kept connection that has been idle for longer may be closing at this
+/// moment, and a request sent on it then counts as sent.
+constexpr milliseconds MaxIdle{4'000};
+/// Limit for requests that run at most once: if the connection is closed under
+/// one, it cannot be repeated.
+constexpr milliseconds MaxIdleOnce{1'000};
+/// Multiple of its latency objective after which an idempotent call of a
+/// service without streams is repeated at another instance.
+constexpr int RepeatAfterObjectives = 3;
 constexpr unsigned StatusServerError = 500;
 
 } // namespace
 
-asio::awaitable<EntryRequests::Ended>
+asio::awaitable<EntryRequests::AttemptOutcome>
 EntryRequests::attempt(Call &Of, const InstanceChoice &Chosen) {
-  const bool IsBegun = Of.m_NextOpened.m_Body != nullptr;
+  const bool IsBegun = Of.m_NextAnswer.m_Body != nullptr;
   Of.m_Instance = Chosen.m_Instance;
   Of.m_IsAnswering = false;
   Of.m_IsPeerEnd = false;
   Of.m_Notice = {};
-  Of.m_Sent = IsBegun ? Of.m_NextOpened.m_Sent : now();
-  const std::uint64_t ListAgeMs = msOf(m_ListBelief().m_Age);
+  Of.m_Sent = IsBegun ? Of.m_NextAnswer.m_Sent : now();
+  const std::uint64_t ListAgeMs = msOf(m_ListFreshness().m_Age);
   Of.m_Heard = now();
-  // What was kept while the stream was being handed over is the caller's,
-  // unless the next instance has begun after what the caller has.
+  // Events buffered during a handover are written to the caller unless the next
+  // instance has begun: it continues after the last event that the caller has.
   if (!IsBegun && Of.m_Answer.started())
-    co_await passReady(Of);
+    co_await writeNewEvents(Of);
   Of.m_Events.clear();
-  Of.m_SeeksSince.reset();
+  Of.m_SearchStart.reset();
   if (Of.m_EventCount == 0)
     Of.m_Version = m_Instances.versionAt(Chosen.m_Instance, Of.m_Query.m_Model);
   if (IsBegun)
-    noteBegun(Of);
+    recordFirstByte(Of);
   else
     m_Instances.started(Chosen.m_Instance, now());
   m_AtInstance[Chosen.m_Instance].insert(&Of);
-  Ended How = co_await exchange(Of, Chosen);
+  AttemptOutcome How = co_await exchange(Of, Chosen);
   Of.m_Abort = nullptr;
-  co_await endHandover(Of, How);
-  if (Of.m_IsGone && How != Ended::Delivered)
-    How = Ended::Gone;
+  co_await finishHandover(Of, How);
+  if (Of.m_IsGone && How != AttemptOutcome::Delivered)
+    How = AttemptOutcome::Gone;
   const auto At = m_AtInstance.find(Chosen.m_Instance);
   At->second.erase(&Of);
   if (At->second.empty())
     m_AtInstance.erase(At);
   if (Of.m_IsPeerEnd)
-    noteLost(Of, Chosen.m_Instance, Of.m_Sent);
-  if (How == Ended::Delivered || How == Ended::Failed)
+    recordLoss(Of, Chosen.m_Instance, Of.m_Sent);
+  if (How == AttemptOutcome::Delivered || How == AttemptOutcome::Failed)
     m_Harmful.answered(Of.m_Fingerprint);
   using End = InstanceTable::End;
-  const bool IsBad = How == Ended::Unreachable || How == Ended::Lost ||
-                     How == Ended::Broken || How == Ended::Failed;
-  noteEnd(Chosen.m_Instance,
-          How == Ended::Delivered ? End::Good
-          : IsBad                 ? End::Failed
-                                  : End::Neutral,
-          Of.m_IsAnswering);
-  net::log(How == Ended::Delivered ? Event::RequestAnswered
-           : How == Ended::Gone    ? Event::RequestAbandoned
-                                   : Event::AttemptEnded,
+  const bool IsBad =
+      How == AttemptOutcome::Unreachable || How == AttemptOutcome::Lost ||
+      How == AttemptOutcome::Broken || How == AttemptOutcome::Failed;
+  recordEnd(Chosen.m_Instance,
+            How == AttemptOutcome::Delivered ? End::Good
+            : IsBad                          ? End::Failed
+                                             : End::Neutral,
+            Of.m_IsAnswering);
+  net::log(How == AttemptOutcome::Delivered ? Event::RequestAnswered
+           : How == AttemptOutcome::Gone    ? Event::RequestAbandoned
+                                            : Event::AttemptEnded,
            {{"request", Of.m_Terms.m_AttemptId},
-            {"outcome", wordOf(How)},
+            {"outcome", outcomeName(How)},
             {"status", std::uint64_t{Of.m_Status}},
             {"instance", Chosen.m_Instance.m_Text},
             {"fingerprint", textOf(Of.m_Fingerprint)},
@@ -96,26 +96,26 @@
             {"firstMs", msOf(Of.m_FirstByte)},
             {"leftMs", msOf(Of.m_Deadline - now())},
             {"afterMs", msOf(now() - Of.m_Start)}});
-  if (How == Ended::Delivered)
+  if (How == AttemptOutcome::Delivered)
     answers("answered").add();
-  if (How == Ended::Gone)
+  if (How == AttemptOutcome::Gone)
     answers("abandoned").add();
   co_return How;
 }
 
-/// Whether another instance could take the request. Where none can, a slow call
-/// that is ended is answered 502, though its only instance may be almost done.
-bool EntryRequests::hasOther(const Call &Of, const InstanceChoice &Than) {
+/// Whether another instance could take the request. If none can, ending a slow
+/// call would answer it 502, though its only instance may be almost done.
+bool EntryRequests::hasAlternative(const Call &Of, const InstanceChoice &Than) {
   ChoiceQuery Query = Of.m_Query;
   Query.m_Tried.insert(Than.m_Instance);
   const InstanceChoice Other = m_Instances.choose(Query, now());
   return Other.m_Outcome == ChoiceOutcome::Chosen;
 }
 
-/// An instance knows best what becomes of it, and its answers come also where
-/// neither the store nor its agent can be heard.
-void EntryRequests::heed(const InstanceNotice &Notice, const InstanceId &From,
-                         const Call &In) {
+/// Applies what an instance reports about itself in an answer. Answers arrive
+/// even if neither the store nor the instance's agent can be reached.
+void EntryRequests::applyNotice(const InstanceNotice &Notice,
+                                const InstanceId &From, const Call &In) {
   if (Notice.m_IsLeaving && m_Instances.leaving(From))
     net::log(Event::InstanceLeaving, {{"instance", From.m_Text},
                                       {"source", "answer"},
@@ -127,24 +127,24 @@
                                       {"request", In.m_Terms.m_AttemptId}});
 }
 
-/// Sends the request and reads the head of the answer.
-asio::awaitable<EntryRequests::Opened>
+/// Sends the request to an instance and reads the head of the answer.
+asio::awaitable<EntryRequests::SendResult>
 EntryRequests::send(Call &Of, const InstanceChoice &Chosen,
                     net::CallCancel &Cancel) {
   const milliseconds Left = Of.timeLeft();
   const bool IsOnce = Of.m_Route->m_Kind == RouteKind::NonIdempotent;
   net::CallLimits Limits;
-  Limits.m_Connect = std::min(ConnectLimit, Left);
+  Limits.m_Connect = std::min(ConnectTimeout, Left);
   Limits.m_FirstByte = Left;
-  // A silent stream is moved where another instance can take it; else it may
-  // still be answered.
+  // Streams have no such limit: a silent one is moved if another instance can
+  // take it, and may still be answered otherwise.
   const bool MayRepeat =
       !Of.isStream() && !IsOnce && Of.m_Runs + 1 < Of.m_Route->m_Attempts;
-  if (MayRepeat && hasOther(Of, Chosen))
+  if (MayRepeat && hasAlternative(Of, Chosen))
     Limits.m_FirstByte =
-        std::min(Left, PlainObjectives * Of.m_Route->m_Objective);
+        std::min(Left, RepeatAfterObjectives * Of.m_Route->m_Objective);
   Limits.m_BetweenBytes = Limits.m_FirstByte;
-  Limits.m_MostIdle = IsOnce ? MostIdleOnce : MostIdle;
+  Limits.m_MostIdle = IsOnce ? MaxIdleOnce : MaxIdle;
   Limits.m_RepeatsGet = false;
 
   UpstreamTerms Terms;
@@ -154,10 +154,10 @@
     Terms.m_Organisation = Of.m_Organisation->m_Organisation;
   if (Of.m_EventCount > 0)
     Terms.m_LastEventId = Of.m_LastEventId;
-  Opened Out;
+  SendResult Out;
   Out.m_Sent = now();
-  // From here on it may run: whether the stream may move is asked meanwhile.
-  // Counted from the answer's head only, it ran at one more instance than its
+  // Counted before the send, as mayMove() reads the counts meanwhile. Counted
+  // only at the answer's head, a request ran at one instance more than its
   // route allows.
   ++Of.m_Sends;
   ++Of.m_Runs;
@@ -167,7 +167,7 @@
   if (!Answer && Answer.error().m_Code == ErrorCode::Unavailable) {
     --Of.m_Sends;
     --Of.m_Runs;
-    Out.m_How = Ended::Unreachable;
+    Out.m_How = AttemptOutcome::Unreachable;
     co_return Out;
   }
   if (!Answer) {
@@ -189,17 +189,17 @@
   }
   if (Meaning != AnswerMeaning::WrongInstance) {
     Out.m_Notice = m_Adapter.noticeOf(Body.status(), Body.headers());
-    heed(Out.m_Notice, Chosen.m_Instance, Of);
+    applyNotice(Out.m_Notice, Chosen.m_Instance, Of);
   }
   if (Meaning == AnswerMeaning::WrongInstance ||
       Meaning == AnswerMeaning::NotRun) {
     --Of.m_Runs;
     if (Meaning == AnswerMeaning::WrongInstance)
       m_Instances.replaced(Chosen.m_Instance);
-    // The connection stays good once its short answer is read.
+    // The connection can be reused once its short answer has been read.
     co_await Body.read();
     Cancel.onCancel(nullptr);
-    Out.m_How = Ended::NotRun;
+    Out.m_How = AttemptOutcome::NotRun;
     co_return Out;
   }
   Cancel.onCancel(nullptr);
@@ -207,11 +207,11 @@
   co_return Out;
 }
 
-asio::awaitable<EntryRequests::Ended>
+asio::awaitable<EntryRequests::AttemptOutcome>
 EntryRequests::exchange(Call &Of, const InstanceChoice &Chosen) {
   if (Of.m_IsGone)
-    co_return Ended::Gone;
-  Opened Begun = std::exchange(Of.m_NextOpened, {});
+    co_return AttemptOutcome::Gone;
+  SendResult Begun = std::exchange(Of.m_NextAnswer, {});
   if (!Begun.m_Body) {
     net::CallCancel Cancel;
     Of.m_Abort = [&Cancel] { Cancel.cancel(); };
@@ -229,19 +229,20 @@
     Of.m_Headers = m_Adapter.toCaller(Body.headers());
   }
   if (Of.isStream() && isSuccess(Body.status())) {
-    const Ended How = co_await passEvents(Of, Body);
+    const AttemptOutcome How = co_await forwardEvents(Of, Body);
     Of.m_Abort = nullptr;
     co_return How;
   }
-  // A stream that went on elsewhere and met a failure has no answer to hold.
+  // The caller already has the head of another answer: an error answer from
+  // the instance that the stream moved to cannot be forwarded.
   if (Of.m_Answer.started())
-    co_return Ended::Broken;
+    co_return AttemptOutcome::Broken;
   co_return co_await readWhole(Of, Body);
 }
 
-/// Reads all of an answer before any of it is passed on, so that one that
-/// breaks off can still be tried elsewhere.
-asio::awaitable<EntryRequests::Ended>
+/// Reads the whole answer before any of it is forwarded, so that the request
+/// can still be retried elsewhere if the answer breaks off.
+asio::awaitable<EntryRequests::AttemptOutcome>
 EntryRequests::readWhole(Call &Of, net::HttpStream &Body) {
   Of.m_Body.clear();
   while (true) {
@@ -249,7 +250,7 @@
     auto Piece = co_await Body.read();
     if (!Piece) {
       Of.m_IsPeerEnd = Piece.error().m_IsPeerEnd;
-      co_return Ended::Lost;
+      co_return AttemptOutcome::Lost;
     }
     if (Piece->empty())
       break;
@@ -258,33 +259,33 @@
   }
   Of.m_FirstByte = now() - Of.m_Start;
   if (Of.m_Status >= StatusServerError)
-    co_return Ended::Failed;
+    co_return AttemptOutcome::Failed;
   net::HttpResponse Whole{Of.m_Status, Of.m_Headers, std::move(Of.m_Body)};
   const bool Sent = co_await Of.m_Answer.send(std::move(Whole));
-  co_return Sent ? Ended::Delivered : Ended::Gone;
+  co_return Sent ? AttemptOutcome::Delivered : AttemptOutcome::Gone;
 }
 
-void EntryRequests::noteLost(const Call &Of, const InstanceId &At,
-                             TimePoint Sent) {
+void EntryRequests::recordLoss(const Call &Of, const InstanceId &At,
+                               TimePoint Sent) {
   if (m_Instances.lost(At, Sent, now()))
     m_Harmful.lost(Of.m_Fingerprint, At, Sent, Of.m_Terms.m_AttemptId);
 }
 
-void EntryRequests::noteEnd(const InstanceId &At, InstanceTable::End How,
-                            bool WasAnswering) {
+void EntryRequests::recordEnd(const InstanceId &At, InstanceTable::End How,
+                              bool WasAnswering) {
   if (const auto For = m_Instances.ended(At, How, WasAnswering, now()))
     net::log(Event::InstanceEjected,
              {{"instance", At.m_Text}, {"forMs", msOf(*For)}});
 }
 
-void EntryRequests::noteBegun(Call &Of) {
+void EntryRequests::recordFirstByte(Call &Of) {
   Of.m_IsAnswering = true;
   m_Instances.answering(Of.m_Instance);
   m_Instances.firstToken(Of.m_Query, now() - Of.m_Sent);
 }
 
-/// Whole events that came and that the caller does not have.
-std::string EntryRequests::takeReady(Call &Of) {
+/// Returns the complete events received that the caller does not have yet.
+std::string EntryRequests::takeNewEvents(Call &Of) {
   std::string Ready;
   while (std::optional<StreamEvent> Next = Of.m_Events.next()) {
     const bool IsRepeated =
@@ -301,42 +302,44 @@
   return Ready;
 }
 
-/// False where the caller has left.
-asio::awaitable<bool> EntryRequests::passReady(Call &Of) {
-  const std::string Ready = takeReady(Of);
+/// Writes these events to the caller; false if it has disconnected.
+asio::awaitable<bool> EntryRequests::writeNewEvents(Call &Of) {
+  const std::string Ready = takeNewEvents(Of);
   if (Ready.empty())
     co_return true;
   co_return co_await Of.m_Answer.write(Ready);
 }
 
-asio::awaitable<EntryRequests::Ended>
-EntryRequests::passEvents(Call &Of, net::HttpStream &Body) {
+asio::awaitable<EntryRequests::AttemptOutcome>
+EntryRequests::forwardEvents(Call &Of, net::HttpStream &Body) {
   while (true) {
     const milliseconds Left = Of.timeLeft();
     if (Left <= milliseconds::zero())
-      co_return Ended::Broken;
+      co_return AttemptOutcome::Broken;
     Body.setBetweenBytes(Left);
     auto Piece = co_await Body.read();
     const bool IsEnd = Piece && Piece->empty();
     if (Piece && Of.m_Handover)
       co_await limitHandover(Of, IsEnd);
-    // All of it is here, whatever the other instance has begun.
+    // The answer is complete, whatever the other instance has begun.
     if (IsEnd)
       Of.m_IsMoving = false;
     if (!Piece)
       Of.m_IsPeerEnd = Piece.error().m_IsPeerEnd && !Of.m_IsMoving;
     if (!Piece || Of.m_IsMoving)
-      co_return Of.m_Answer.started() ? Ended::Broken : Ended::Lost;
+      co_return Of.m_Answer.started() ? AttemptOutcome::Broken
+                                      : AttemptOutcome::Lost;
     m_Instances.heard(Of.m_Instance, now());
     Of.m_Heard = now();
     if (!Of.m_IsAnswering)
-      noteBegun(Of);
+      recordFirstByte(Of);
     if (!IsEnd)
       Of.m_Events.add(*Piece);
-    // The other instance begins after what the caller has by now.
+    // Events are held back: the other instance continues after the last one
+    // that the caller has.
     if (Of.m_Handover)
       continue;
-    std::string Ready = takeReady(Of);
+    std::string Ready = takeNewEvents(Of);
     if (IsEnd) {
       Ready += Of.m_Events.part();
       Of.m_Events.clear();
@@ -345,13 +348,14 @@
       if (!Of.m_Answer.started()) {
         Of.m_FirstByte = now() - Of.m_Start;
         if (!co_await Of.m_Answer.begin(Of.m_Status, Of.m_Headers))
-          co_return Ended::Gone;
+          co_return AttemptOutcome::Gone;
       }
       if (!co_await Of.m_Answer.write(Ready))
-        co_return Ended::Gone;
+        co_return AttemptOutcome::Gone;
     }
     if (IsEnd)
-      co_return co_await Of.m_Answer.end() ? Ended::Delivered : Ended::Gone;
+      co_return co_await Of.m_Answer.end() ? AttemptOutcome::Delivered
+                                           : AttemptOutcome::Gone;
   }
 }
 
--- a/src/direct/entry-call.h
+++ b/src/direct/entry-call.h
@@ -1,4 +1,4 @@
-// One request while an entry serves it. For the files of EntryRequests only.
+// State of one request while an entry serves it. Private to EntryRequests.
 #pragma once
 
 #include "daemon/clock.h"
@@ -17,25 +17,26 @@
 
 namespace deckpitch::direct {
 
-/// Work of a token written against one read.
-inline constexpr double WrittenTokenWork = 10;
-/// A send that was refused may be made good by one more.
-inline constexpr std::uint32_t LeastSends = 2;
-/// Refused sends that are made good by further ones, for a request that ran
-/// already: it can no longer be refused as not run, only broken off. Each is an
-/// arrival more, paid from the budget of retries.
-inline constexpr std::uint32_t MostRefusals = 4;
+/// Cost of generating one token, in prompt tokens processed.
+inline constexpr double OutputTokenCost = 10;
+/// Minimum sends per request: one refused send may be repeated.
+inline constexpr std::uint32_t MinSends = 2;
+/// Refused sends that may be repeated for a request that has already run. Such
+/// a request can no longer be refused as not run, only broken off. Each repeat
+/// is charged to the retry budget.
+inline constexpr std::uint32_t MaxRefusals = 4;
 
-/// Another entry is known to have what this one lacks, or may have: callers are
-/// to ask elsewhere, and this one may have it by then.
+/// Retry-After while this entry's cached state is outdated or of unknown
+/// freshness: other entries may have the current state, and this one may have
+/// caught up by then.
 inline constexpr Duration RetryAfterOutdated = std::chrono::milliseconds(50);
 
-/// Answers to callers by what came of their requests.
+/// Counter of requests that ended with the given outcome.
 net::Counter &answers(const char *Outcome);
 
 inline bool isSuccess(unsigned Status) { return Status >= 200 && Status < 300; }
 
-/// One request while it is served.
+/// State of one request from its arrival until its answer has ended.
 struct EntryRequests::Call {
   net::HttpRequest m_Request;
   net::HttpResponder &m_Answer;
@@ -47,63 +48,65 @@
   ChoiceQuery m_Query;
   TimePoint m_Start;
   TimePoint m_Deadline;
-  std::uint32_t m_Sends = 0;       ///< that reached an instance, or may have
-  std::uint32_t m_Runs = 0;        ///< of these, that it may have run
-  std::uint32_t m_Unreachable = 0; ///< attempts that reached none
+  std::uint32_t m_Sends = 0; ///< sends that reached an instance, or may have
+  std::uint32_t m_Runs = 0;  ///< sends that an instance may have run
+  std::uint32_t m_Unreachable = 0; ///< attempts that reached no instance
   bool m_IsGone = false;
-  std::uint64_t m_Number = 0;   ///< of this call at this entry
-  bool m_IsPlaceSought = false; ///< to go on elsewhere
-  /// This attempt is being ended so that the request goes on at m_Next.
+  std::uint64_t m_Number = 0;  ///< unique within this entry
+  bool m_IsMoveSought = false; ///< a move to another instance is under way
+  /// The current attempt is being ended so that the request continues at
+  /// m_Next.
   bool m_IsMoving = false;
   InstanceChoice m_Next;
-  /// Of the attempt at m_Next, where that has begun already.
-  Opened m_NextOpened;
-  /// The rest of a stream is being sent to another instance, while the present
-  /// one still has it.
+  /// The answer from m_Next, if it has begun already.
+  SendResult m_NextAnswer;
+  /// Transfer of a stream's remainder to another instance while the current one
+  /// is still connected.
   struct Handover {
     explicit Handover(asio::io_context &Io)
         : m_Decided(Io, asio::steady_timer::time_point::max()) {}
 
     net::CallCancel m_Cancel;
-    asio::steady_timer m_Decided; ///< ends when the other has begun or has not
+    /// Cancelled once the transfer has succeeded or failed.
+    asio::steady_timer m_Decided;
     TimePoint m_Sent = daemon::now();
   };
   std::shared_ptr<Handover> m_Handover;
-  TimePoint m_Sent{};  ///< this attempt
-  TimePoint m_Heard{}; ///< when something came last, or the attempt began
-  bool m_IsAnswering = false; ///< the first byte of this attempt has come
-  bool m_IsPeerEnd = false;   ///< the instance ended this attempt's connection
-  InstanceNotice m_Notice;    ///< in the head of this attempt's answer
-  /// Since when the rest of a stream has no instance.
-  std::optional<TimePoint> m_SeeksSince;
-  const char *m_GivenUpFor = ""; ///< for log lines: how the last try ended
-  Duration m_RetryAfter{};       ///< as the last instance's state suggests
-  InstanceId m_Instance;         ///< of this attempt
-  /// Weights that the answer's first part comes from; 0: not known, or none.
+  TimePoint m_Sent{};         ///< start of the current attempt
+  TimePoint m_Heard{};        ///< last byte received, or start of the attempt
+  bool m_IsAnswering = false; ///< the current attempt has its first byte
+  bool m_IsPeerEnd = false;   ///< the instance closed the connection
+  InstanceNotice m_Notice;    ///< from the head of the current answer
+  /// When the search for an instance for a stream's remainder began.
+  std::optional<TimePoint> m_SearchStart;
+  const char *m_LastOutcome = ""; ///< for logs: how the last attempt ended
+  Duration m_RetryAfter{}; ///< suggested by the state of the last instance
+  InstanceId m_Instance;   ///< of the current attempt
+  /// Version of the weights that began the answer; 0 if unknown or none.
   std::uint64_t m_Version = 0;
-  /// Ends the attempt that is under way.
+  /// Ends the current attempt.
   std::function<void()> m_Abort;
 
-  // What an instance answered, while it is held.
+  // The instance's answer while it is buffered.
   unsigned m_Status = 0;
   net::HttpHeaders m_Headers;
   std::string m_Body;
 
-  // What the caller has of a stream.
+  // The part of a stream that the caller has received.
   EventStreamSplitter m_Events;
   std::uint64_t m_EventCount = 0;
   std::string m_LastEventId;
   std::optional<std::uint64_t> m_LastEvent;
   Duration m_FirstByte{};
 
-  /// Work that the request asks for, in tokens read.
+  /// Cost of the request, in prompt tokens.
   double size() const {
-    return m_Terms.m_PromptTokens + WrittenTokenWork * m_Terms.m_AnswerTokens;
+    return m_Terms.m_PromptTokens + OutputTokenCost * m_Terms.m_AnswerTokens;
   }
   bool isStream() const {
     return m_Route && m_Route->m_Kind == RouteKind::Stream;
   }
-  /// Whether a further instance may run it once one may have.
+  /// Whether another instance may run the request after one may have run it.
   bool isRepeatable() const {
     if (isStream())
       return m_Route->m_IsResumable;
@@ -111,11 +114,11 @@
   }
   /// Whether the route allows one more send and one more run.
   bool hasAttemptsLeft() const {
-    // A refused send ran nowhere, but counts as one more arrival.
-    std::uint32_t MostSends = std::max(m_Route->m_Attempts, LeastSends);
+    // A refused send did not run, but counts as an additional arrival.
+    std::uint32_t MaxSends = std::max(m_Route->m_Attempts, MinSends);
     if (m_Runs > 0)
-      MostSends += std::min(m_Sends - m_Runs, MostRefusals);
-    return m_Sends < MostSends && m_Runs < m_Route->m_Attempts;
+      MaxSends += std::min(m_Sends - m_Runs, MaxRefusals);
+    return m_Sends < MaxSends && m_Runs < m_Route->m_Attempts;
   }
   std::chrono::milliseconds timeLeft() const {
     return std::chrono::duration_cast<std::chrono::milliseconds>(m_Deadline -
--- a/src/direct/entry-places.cc
+++ b/src/direct/entry-places.cc
@@ -1,5 +1,5 @@
-// The choice of an instance for a request, by what is known here and by what
-// the agent beside it says.
+// Choice of an instance for a request, from the entry's cached state and the
+// answers of the instances' agents.
 #include "direct/entry-call.h"
 
 #include <algorithm>
@@ -12,9 +12,9 @@
 
 namespace {
 
-/// Agents that are asked for a place before a request is refused.
-constexpr unsigned MostAsked = 3;
-/// Instances that have just started are listed anew and have weights by then.
+/// Agents asked for a slot before a request is refused.
+constexpr unsigned MaxAskedAgents = 3;
+/// Instances that have just restarted are listed and hold weights by then.
 constexpr Duration RetryAfterUnconfirmed = std::chrono::milliseconds(2'000);
 
 InstanceChoice unconfirmed(InstanceChoice Of) {
@@ -32,19 +32,20 @@
 
 } // namespace
 
-/// Chooses by what is known here, and has the choice confirmed by the agent
-/// beside the instance, which knows what all entries send. One whose agent
-/// does not answer is passed over while others do: its link is full, and what
-/// was sent there unasked came after 400 to 800 ms.
-asio::awaitable<InstanceChoice> EntryRequests::choosePlace(ChoiceQuery Query) {
-  if (m_ListBelief().m_IsOutdated)
+/// Chooses an instance from the cached state and has its agent confirm the
+/// choice, since the agent sees the requests of all entries. An instance whose
+/// agent does not answer is used only if no agent grants a slot: its link is
+/// saturated, and requests sent there unconfirmed arrived after 400 to 800 ms.
+asio::awaitable<InstanceChoice>
+EntryRequests::chooseInstance(ChoiceQuery Query) {
+  if (m_ListFreshness().m_IsOutdated)
     co_return outdatedChoice();
   std::optional<InstanceChoice> Unanswered;
   std::optional<InstanceChoice> Refused;
-  for (unsigned Asked = 0; Asked < MostAsked; ++Asked) {
+  for (unsigned Asked = 0; Asked < MaxAskedAgents; ++Asked) {
     InstanceChoice Chosen = m_Instances.choose(Query, now());
     if (Chosen.m_Outcome != ChoiceOutcome::Chosen) {
-      // Those that were asked are not looked at again.
+      // This choice leaves out the instances that were asked.
       if (!Refused)
         Refused = std::move(Chosen);
       break;
@@ -53,8 +54,8 @@
     if (!Place)
       co_return Chosen;
     const auto Reply = co_await m_Ask(Chosen.m_Address, *Place);
-    // This process may have stood still meanwhile.
-    if (m_ListBelief().m_IsOutdated)
+    // This process may have been paused meanwhile.
+    if (m_ListFreshness().m_IsOutdated)
       co_return outdatedChoice();
     const bool IsListedLife =
         Reply && m_Instances.report(Chosen.m_Address, Reply->m_Report, now());
@@ -80,7 +81,7 @@
     co_return *std::move(Unanswered);
   if (Refused)
     co_return *std::move(Refused);
-  // No agent answered, and all are believed full.
+  // No agent answered, and the cached state shows all instances as full.
   Query.m_Full.clear();
   Query.m_AskedBeyond = 0;
   InstanceChoice Last = m_Instances.choose(Query, now());
@@ -91,9 +92,10 @@
   co_return Last;
 }
 
-/// Which of two requests crashes instances shows only where they run apart.
+/// Instances that run other suspected requests: which of two requests crashes
+/// instances shows only if they run apart.
 std::set<InstanceId>
-EntryRequests::placesOfOtherSuspects(const Call &Than) const {
+EntryRequests::instancesOfOtherSuspects(const Call &Than) const {
   std::set<InstanceId> Out;
   if (!m_Harmful.isSuspect(Than.m_Fingerprint))
     return Out;
@@ -105,16 +107,16 @@
   return Out;
 }
 
-/// A stream of which the caller has a part goes on with the same weights where
-/// anybody still serves them.
-asio::awaitable<InstanceChoice> EntryRequests::choosePlaceFor(Call &Of) {
-  Of.m_Query.m_Avoided = placesOfOtherSuspects(Of);
+/// Chooses an instance for the next attempt. A stream that the caller has a
+/// part of continues with the same weights if any instance still serves them.
+asio::awaitable<InstanceChoice> EntryRequests::chooseInstanceFor(Call &Of) {
+  Of.m_Query.m_Avoided = instancesOfOtherSuspects(Of);
   if (Of.m_EventCount > 0 && Of.m_Version != 0) {
-    InstanceChoice Same = co_await choosePlace(queryForRest(Of));
+    InstanceChoice Same = co_await chooseInstance(queryForRemainder(Of));
     if (Same.m_Outcome == ChoiceOutcome::Chosen)
       co_return Same;
   }
-  co_return co_await choosePlace(Of.m_Query);
+  co_return co_await chooseInstance(Of.m_Query);
 }
 
 } // namespace deckpitch::direct
--- a/src/direct/entry-requests.cc
+++ b/src/direct/entry-requests.cc
@@ -18,31 +18,33 @@
 
 namespace {
 
-/// Less is not worth sending: the answer could not be back.
-constexpr milliseconds LeastTimeLeft{15};
-/// Instances that could not be reached before a request is refused.
-constexpr std::uint32_t MostUnreachable = 3;
-/// Requests by which a report may be behind: so many ends of requests may have
-/// come since, and are not left unused.
+/// With less time left, an answer could not arrive before the deadline.
+constexpr milliseconds MinTimeLeft{15};
+/// Unreachable instances after which a request is refused.
+constexpr std::uint32_t MaxUnreachable = 3;
+/// Slots beyond an instance's reported limit for which its agent is still
+/// asked: this many requests may have ended since the report.
 constexpr double AskedBeyond = 2;
-/// Between two looks for a place for the rest of a stream: about as long as an
-/// engine reads a prompt.
-constexpr milliseconds SeekPause{60};
-/// For how long one is looked for. Callers leave a stream that says nothing for
-/// two seconds, and the first token takes some tenths of one.
-constexpr milliseconds SeekLimit{1'200};
-constexpr milliseconds DefaultPatience{30'000};
-/// Time that a caller's first try cannot have used up.
-constexpr milliseconds ReturningUsed{25};
-/// Places left to callers who come back: a second refusal ends their request.
+/// Interval between searches for an instance that takes the remainder of a
+/// stream: about the time in which an engine processes a prompt.
+constexpr milliseconds SearchInterval{60};
+/// Total time of these searches. Callers abandon a stream after two seconds
+/// without data, and the first token takes some tenths of a second.
+constexpr milliseconds SearchTimeout{1'200};
+constexpr milliseconds DefaultCallerTimeout{30'000};
+/// A request whose timeout falls short of the route's longest one by more than
+/// this is taken for a caller's repeated attempt.
+constexpr milliseconds FirstTryTolerance{25};
+/// Slots that first attempts leave free for repeated ones: a second refusal
+/// ends the caller's request.
 constexpr double FirstTryReserve = 1;
-/// Until the declaration is read after a start.
+/// Retry-After until the declaration has been read after a start.
 constexpr Duration RetryAfterStart = milliseconds(500);
-/// Instances refused the request just now.
-constexpr Duration LeastRetryAfterNotRun = milliseconds(60);
-/// Share of the retries that entries may use together which they do use: the
-/// rest covers requests that reached no entry, and entries not yet known of.
-constexpr double UsedShareOfRetries = 0.7;
+/// Minimum Retry-After when instances have just refused the request.
+constexpr Duration MinRetryAfterNotRun = milliseconds(60);
+/// Fraction of the fleet's retry budget that the entries use: the rest covers
+/// requests that reached no entry, and entries that are not known yet.
+constexpr double UsedRetryFraction = 0.7;
 
 constexpr unsigned StatusUnauthorized = 401;
 constexpr unsigned StatusNotFound = 404;
@@ -50,7 +52,7 @@
 constexpr unsigned StatusUnavailable = 503;
 constexpr unsigned StatusGatewayTimeout = 504;
 
-/// For log lines and answers.
+/// Name of an outcome for log lines and answers.
 const char *reasonOf(ChoiceOutcome Value) {
   switch (Value) {
   case ChoiceOutcome::Chosen:
@@ -62,9 +64,9 @@
   case ChoiceOutcome::Full:
     return "full";
   case ChoiceOutcome::Resting:
-    return "all rest";
+    return "all instances are backing off";
   case ChoiceOutcome::Unconfirmed:
-    return "nobody confirms that instances live";
+    return "no agent confirms that instances are running";
   case ChoiceOutcome::ListOutdated:
     return "list of instances is outdated";
   }
@@ -80,11 +82,12 @@
 
 EntryRequests::EntryRequests(asio::io_context &Io, net::HttpClient &Http,
                              const FleetAdapter &Adapter,
-                             InstanceTable &Instances, HarmfulWatch &Harmful,
-                             RetryShare Retries, AskPlace Ask)
+                             InstanceTable &Instances,
+                             HarmfulRequestTracker &Harmful, RetryShare Retries,
+                             AskSlot Ask)
     : m_Io(Io), m_Http(Http), m_Adapter(Adapter), m_Instances(Instances),
-      m_Harmful(Harmful), m_Retries{UsedShareOfRetries * Retries.m_Share,
-                                    UsedShareOfRetries * Retries.m_Slack,
+      m_Harmful(Harmful), m_Retries{UsedRetryFraction * Retries.m_Share,
+                                    UsedRetryFraction * Retries.m_Slack,
                                     Retries.m_Window},
       m_Start(now()), m_Ask(std::move(Ask)) {}
 
@@ -123,16 +126,18 @@
   return IsGranted;
 }
 
-/// Places of an engine that the request leaves to others.
+/// Slots of an engine that the request must leave free for others.
 double EntryRequests::reserveFor(const Call &Of) {
   if (Of.m_Query.m_Model.empty())
     return 0;
   RouteLoad &Load = m_RouteLoads[Of.m_Route->m_Name];
   Load.m_Sizes.arrived(Of.size());
-  const milliseconds Patience = Of.m_Terms.m_Patience.value_or(DefaultPatience);
-  Load.m_LongestPatience = std::max(Load.m_LongestPatience, Patience);
-  // One that has used up some of its time has been refused before.
-  const bool IsReturning = Patience + ReturningUsed < Load.m_LongestPatience;
+  const milliseconds CallerTimeout =
+      Of.m_Terms.m_Patience.value_or(DefaultCallerTimeout);
+  Load.m_LongestTimeout = std::max(Load.m_LongestTimeout, CallerTimeout);
+  // A request with less time than others of its route was refused before.
+  const bool IsReturning =
+      CallerTimeout + FirstTryTolerance < Load.m_LongestTimeout;
   const double Reserve =
       Load.m_Sizes.reserve(Of.size()) + (IsReturning ? 0 : FirstTryReserve);
   return Reserve;
@@ -162,22 +167,23 @@
   if (Routes.declaration().m_Version == 0)
     co_return co_await refuse(Of, StatusUnavailable, "starting",
                               RetryAfterStart);
-  const StoreBelief Belief = m_Belief();
-  if (Belief.m_IsUnsure)
+  const StoreBelief Freshness = m_DeclarationFreshness();
+  if (Freshness.m_IsUnsure)
     co_return co_await refuse(Of, StatusUnavailable,
-                              "stood still, declaration may be old",
+                              "declaration may be outdated after a pause",
                               RetryAfterOutdated);
-  if (Belief.m_IsOutdated)
-    co_return co_await refuse(Of, StatusUnavailable, "declaration is replaced",
+  if (Freshness.m_IsOutdated)
+    co_return co_await refuse(Of, StatusUnavailable,
+                              "declaration has been superseded",
                               RetryAfterStart);
   Of.m_Route =
       Routes.find(Of.m_Request.m_Headers.find("Host"), Of.m_Request.path());
   if (!Of.m_Route)
-    co_return co_await deny(Of, StatusNotFound, "no such route");
+    co_return co_await rejectUnknown(Of, StatusNotFound, "no such route");
   Of.m_Organisation = Routes.organisationOf(Of.m_Terms.m_Key);
   const bool NeedsKey = Routes.hasOrganisations() && !Of.m_Route->m_IsOpen;
   if (NeedsKey && !Of.m_Organisation)
-    co_return co_await deny(Of, StatusUnauthorized, "unknown key");
+    co_return co_await rejectUnknown(Of, StatusUnauthorized, "unknown key");
   Of.m_Fingerprint = fingerprintOf(
       {Of.m_Organisation ? Of.m_Organisation->m_Organisation.m_Text : "",
        Of.m_Request.m_Headers.find("Host"), Of.m_Request.m_Method,
@@ -194,42 +200,43 @@
   Of.m_Query.m_Objective = Of.m_Route->m_Objective;
   Of.m_Query.m_AskedBeyond = AskedBeyond;
   Of.m_Query.m_Size = {Of.m_Terms.m_PromptTokens, Of.m_Terms.m_LikelyTokens};
-  const milliseconds Patience = Of.m_Terms.m_Patience.value_or(DefaultPatience);
-  Of.m_Deadline = Of.m_Start + std::min(Patience, Of.m_Route->m_Timeout);
+  const milliseconds CallerTimeout =
+      Of.m_Terms.m_Patience.value_or(DefaultCallerTimeout);
+  Of.m_Deadline = Of.m_Start + std::min(CallerTimeout, Of.m_Route->m_Timeout);
   Of.m_LastEventId = Of.m_Terms.m_LastEventId;
   retriesOf(*Service).arrived(now());
   Of.m_Query.m_Reserve = reserveFor(Of);
   co_await tryInstances(Of);
 }
 
-/// A route or key that is not known here may have been declared meanwhile: only
-/// who knows what is in force says for good that there is none. Entries that
-/// could not read the store for 3 s, behind a link that was full, answered 404
-/// to callers of routes that were in force.
-asio::awaitable<void> EntryRequests::deny(Call &Of, unsigned Status,
-                                          std::string Reason) {
-  if (m_Belief().m_MayBeOld)
+/// Rejects a request with an unknown route or key. Both may have been declared
+/// meanwhile, so the rejection is final only if the cached declaration is
+/// current: entries that could not read the store for 3 s, behind a saturated
+/// link, answered 404 for routes that existed.
+asio::awaitable<void> EntryRequests::rejectUnknown(Call &Of, unsigned Status,
+                                                   std::string Reason) {
+  if (m_DeclarationFreshness().m_MayBeOld)
     co_return co_await refuse(Of, StatusUnavailable,
-                              Reason + ", declaration may be old",
+                              Reason + ", declaration may be outdated",
                               RetryAfterStart);
   co_await refuse(Of, Status, std::move(Reason), {});
 }
 
 asio::awaitable<void> EntryRequests::tryInstances(Call &Of) {
-  Ended How = Ended::NotRun;
+  AttemptOutcome How = AttemptOutcome::NotRun;
   while (true) {
-    const bool IsBegun = Of.m_NextOpened.m_Body != nullptr;
-    if (!IsBegun && Of.timeLeft() < LeastTimeLeft)
+    const bool IsBegun = Of.m_NextAnswer.m_Body != nullptr;
+    if (!IsBegun && Of.timeLeft() < MinTimeLeft)
       break;
     const bool IsMoving = std::exchange(Of.m_IsMoving, false);
     InstanceChoice Chosen = Of.m_Next;
     if (!IsMoving)
-      Chosen = co_await choosePlaceFor(Of);
+      Chosen = co_await chooseInstanceFor(Of);
     if (Chosen.m_Outcome != ChoiceOutcome::Chosen) {
       Of.m_RetryAfter = Chosen.m_RetryAfter;
-      Of.m_GivenUpFor = reasonOf(Chosen.m_Outcome);
-      if (maySeekFurther(Of)) {
-        co_await pauseFor(SeekPause);
+      Of.m_LastOutcome = reasonOf(Chosen.m_Outcome);
+      if (mayRepeatSearch(Of)) {
+        co_await pauseFor(SearchInterval);
         continue;
       }
       if (Of.m_Sends == 0 && Of.m_Unreachable == 0) {
@@ -249,58 +256,59 @@
     if (Of.m_Sends == 0 && Of.m_Unreachable == 0 && !Of.m_Query.m_Model.empty())
       m_RouteLoads[Of.m_Route->m_Name].m_Sizes.admitted(Of.size());
     How = co_await attempt(Of, Chosen);
-    if (How == Ended::Delivered || How == Ended::Gone)
+    if (How == AttemptOutcome::Delivered || How == AttemptOutcome::Gone)
       co_return;
     Of.m_Query.m_Tried.insert(Chosen.m_Instance);
-    Of.m_GivenUpFor = wordOf(How);
-    if (!Of.m_IsMoving && !mayGoOn(Of, How))
+    Of.m_LastOutcome = outcomeName(How);
+    if (!Of.m_IsMoving && !mayRetry(Of, How))
       break;
   }
   co_await giveUp(Of, How);
 }
 
-/// Whether a place is looked for again after none was found. Streams of an
-/// instance that dies look for one in the same moment, and agents grant few
-/// prompts at once: 14 streams were broken off in one moment (3 in 10 of 20
-/// instances died). Who has no part yet is better served by a refusal.
-bool EntryRequests::maySeekFurther(Call &Of) const {
+/// Whether the search for an instance is repeated after none was found. All
+/// streams of a failed instance search at once, while agents admit few prompts
+/// at a time: when 3 in 10 of 20 instances failed, 14 streams were broken off
+/// at once. A caller that has received nothing yet is better served by a
+/// refusal.
+bool EntryRequests::mayRepeatSearch(Call &Of) const {
   if (Of.m_IsGone || !Of.m_Answer.started())
     return false;
   const TimePoint Now = now();
-  if (!Of.m_SeeksSince)
-    Of.m_SeeksSince = Now;
-  return Now - *Of.m_SeeksSince < SeekLimit;
+  if (!Of.m_SearchStart)
+    Of.m_SearchStart = Now;
+  return Now - *Of.m_SearchStart < SearchTimeout;
 }
 
-/// Whether a further attempt is allowed after one that ended so.
-bool EntryRequests::mayGoOn(Call &Of, Ended How) {
-  if (How == Ended::Unreachable)
-    return ++Of.m_Unreachable < MostUnreachable;
-  const bool MayRun = How == Ended::NotRun || Of.isRepeatable();
+/// Whether another attempt is allowed after one with the given outcome.
+bool EntryRequests::mayRetry(Call &Of, AttemptOutcome How) {
+  if (How == AttemptOutcome::Unreachable)
+    return ++Of.m_Unreachable < MaxUnreachable;
+  const bool MayRun = How == AttemptOutcome::NotRun || Of.isRepeatable();
   if (!MayRun || !Of.hasAttemptsLeft() || m_Harmful.isRefused(Of.m_Fingerprint))
     return false;
   return takeRetry(Of);
 }
 
-/// The final answer where no instance gave a whole one.
-asio::awaitable<void> EntryRequests::giveUp(Call &Of, Ended How) {
+/// Sends the final answer after no instance has given a complete one.
+asio::awaitable<void> EntryRequests::giveUp(Call &Of, AttemptOutcome How) {
   if (Of.m_IsGone) {
     answers("abandoned").add();
     co_return;
   }
   if (Of.m_Answer.started()) {
-    co_await passReady(Of);
+    co_await writeNewEvents(Of);
     answers("broken").add();
     net::log(Event::StreamBroken, {{"request", Of.m_Terms.m_AttemptId},
-                                   {"reason", Of.m_GivenUpFor},
+                                   {"reason", Of.m_LastOutcome},
                                    {"events", Of.m_EventCount},
                                    {"sends", std::uint64_t{Of.m_Sends}},
                                    {"afterMs", msOf(now() - Of.m_Start)}});
     Of.m_Answer.abort();
     co_return;
   }
-  if (How == Ended::Failed) {
-    // The instance's own failure, unchanged.
+  if (How == AttemptOutcome::Failed) {
+    // The instance's error is forwarded unchanged.
     net::HttpResponse Held{Of.m_Status, std::move(Of.m_Headers),
                            std::move(Of.m_Body)};
     answers("failed").add();
@@ -314,20 +322,20 @@
   if (Of.m_Runs == 0)
     co_return co_await refuse(Of, StatusUnavailable, "not run",
                               retryAfterNotRun(Of));
-  const bool IsLate = Of.timeLeft() < LeastTimeLeft;
+  const bool IsLate = Of.timeLeft() < MinTimeLeft;
   co_await refuse(Of, IsLate ? StatusGatewayTimeout : StatusBadGateway,
                   "unknown whether it ran", {});
 }
 
-/// When an instance may take a request that none has run, those that were tried
-/// among them.
+/// Retry-After for a request that no instance has run, with the instances that
+/// were tried included.
 Duration EntryRequests::retryAfterNotRun(const Call &Of) {
   ChoiceQuery Query = Of.m_Query;
   Query.m_Tried.clear();
   const InstanceChoice Next = m_Instances.choose(Query, now());
   if (Next.m_Outcome == ChoiceOutcome::Resting)
     return Next.m_RetryAfter;
-  return std::max(Of.m_RetryAfter, LeastRetryAfterNotRun);
+  return std::max(Of.m_RetryAfter, MinRetryAfterNotRun);
 }
 
 asio::awaitable<void> EntryRequests::refuse(Call &Of, unsigned Status,
@@ -341,18 +349,18 @@
             {"reason", Reason},
             {"route", Of.m_Route ? Of.m_Route->m_Name : ""},
             {"declaration", Of.m_Routes->declaration().m_Version},
-            {"declarationAgeMs", msOf(m_Belief().m_Age)},
-            {"listAgeMs", msOf(m_ListBelief().m_Age)},
+            {"declarationAgeMs", msOf(m_DeclarationFreshness().m_Age)},
+            {"listAgeMs", msOf(m_ListFreshness().m_Age)},
             {"sends", std::uint64_t{Of.m_Sends}},
             {"retryAfterMs", msOf(RetryAfter)},
             {"leftMs", msOf(Of.m_Deadline - now())},
             {"afterMs", msOf(now() - Of.m_Start)}});
-  net::HttpResponse Told =
+  net::HttpResponse Response =
       m_Adapter.ownAnswer(Status, Reason, Of.m_Terms.m_AttemptId, RetryAfter);
-  co_await Of.m_Answer.send(std::move(Told));
+  co_await Of.m_Answer.send(std::move(Response));
 }
 
-const char *EntryRequests::wordOf(Ended How) {
+const char *EntryRequests::outcomeName(AttemptOutcome How) {
   static constexpr std::array Words{"delivered", "gone",   "unreachable",
                                     "not run",   "failed", "lost",
                                     "broken"};
--- a/src/direct/entry.cc
+++ b/src/direct/entry.cc
@@ -1,4 +1,5 @@
-// The entry of a fleet: callers, directory, readiness.
+// The entry process of a fleet: serves callers, the directory and readiness
+// checks.
 #include "daemon/clock.h"
 #include "deckpitch/link-delay.h"
 #include "direct/adapter.h"
@@ -29,26 +30,27 @@
 namespace {
 
 constexpr auto UseAwaitable = asio::as_tuple(asio::use_awaitable);
-/// The system's own kind of objects, for entries to find each other.
+/// Kind of the objects through which entries find each other.
 const std::string EntryKind = "deckpitch-entries";
-constexpr Duration TickSpan = milliseconds(100);
-/// To each agent: it keeps on telling for several of these.
-constexpr Duration SubscribeSpan = milliseconds(1'000);
-/// Between two reads of the other entries; hellos tell the rest.
-constexpr Duration EntriesSpan = std::chrono::seconds(20);
-/// Entries assumed until the store has listed them, where fewer are heard.
+constexpr Duration TickInterval = milliseconds(100);
+/// Interval of hellos to each agent, which sends its state for several of these
+/// intervals after one.
+constexpr Duration SubscribeInterval = milliseconds(1'000);
+/// Interval between reads of the stored entries; hellos cover the time between.
+constexpr Duration EntriesInterval = std::chrono::seconds(20);
+/// Minimum number of entries assumed until the store has listed them.
 constexpr std::size_t EntriesBeforeList = 64;
-/// After a call to the store that failed.
-constexpr Duration RegisterRetrySpan = milliseconds(500);
-/// Callers keep an answer of the directory about that long; until then they
-/// may still come to an entry that leaves.
+/// Interval between attempts after a failed call to the store.
+constexpr Duration RegisterRetryInterval = milliseconds(500);
+/// How long a draining entry accepts new requests: callers cache a directory
+/// answer for about this long.
 constexpr milliseconds AcceptAfterStop{2'500};
-/// Kept free of the time until the kill.
-constexpr milliseconds GraceSpare{500};
-/// News of another entry that takes longer than it usually does by more than
-/// this is worth a line, but not more than one in each span.
-constexpr Duration LongestUsualWay = milliseconds(200);
-constexpr Duration LateLineSpan = milliseconds(1'000);
+/// Part of the grace period that is left unused before the process is killed.
+constexpr milliseconds GraceMargin{500};
+/// An update from another entry that is late by more than this, against its
+/// usual delay, is logged, at most once per interval.
+constexpr Duration LateUpdateThreshold = milliseconds(200);
+constexpr Duration LateLogInterval = milliseconds(1'000);
 constexpr net::HttpLimits SmallLimits{std::size_t{8} * 1024,
                                       std::size_t{64} * 1024,
                                       milliseconds(2'000),
@@ -93,27 +95,27 @@
   std::size_t entriesThatRetry() const;
   std::string ownRecord() const;
   void learn(const net::PlatformObject &Record);
-  asio::awaitable<bool> writeSelf();
+  asio::awaitable<bool> writeOwnRecord();
   asio::awaitable<void> waitUntilDrained(std::function<void()> OnDone);
   void onLink(const wire::LinkMessage &Message, const std::string &From);
   void onEntry(const wire::LinkMessage &Message, const std::string &From);
   void onState(const wire::InstanceState &State);
-  asio::awaitable<std::optional<PlaceReply>> askPlace(std::string Address,
-                                                      PlaceQuery Query);
+  asio::awaitable<std::optional<SlotReply>> askSlot(std::string Address,
+                                                    PlaceQuery Query);
   std::string agentOf(const std::string &InstanceAddress) const;
   wire::LinkMessage ownHello() const;
-  void tellFoundHarmful(TimePoint Now);
+  void announceHarmful(TimePoint Now);
   void sendHellos(TimePoint Now);
   void noteReadiness();
-  void noteListBelief();
+  void logListFreshness();
   bool isReady() const;
   static EntryAddress ownAddress(const DirectSettings &Settings);
   net::HttpLimits callerLimits(const CallerLimits &Declared) const;
 
-  /// An entry that sends hellos or news.
+  /// An entry that sends hellos or updates.
   struct Sender {
     LinkDelay m_Delay;
-    TimePoint m_NextLateLine{};
+    TimePoint m_NextLateLog{};
   };
 
   DirectContext &m_Context;
@@ -122,12 +124,12 @@
   net::HttpClient m_Http;
   std::unique_ptr<net::Platform> m_Store;
   InstanceTable m_Instances;
-  HarmfulWatch m_Harmful;
+  HarmfulRequestTracker m_Harmful;
   EntryRequests m_Requests;
   EntryPeers m_Peers;
   StateLink m_Link;
   StoreRelay m_Relay;
-  PlaceClient m_Places;
+  SlotClient m_SlotClient;
   FleetFollower m_Follower;
   net::HttpServer m_Callers;
   net::HttpServer m_Ready;
@@ -137,12 +139,12 @@
   std::map<std::string, LinkOrder> m_StateOrder; ///< by instance address
   std::map<std::string, Sender> m_Senders;       ///< by link address
   TimePoint m_NextSubscribe{};
-  asio::steady_timer m_RegisterWake;
-  bool m_IsWritten = false; ///< the store has what it is to keep of this entry
+  asio::steady_timer m_RegisterTimer;
+  bool m_IsWritten = false; ///< this entry's stored record is current
   bool m_Leaving = false;
-  bool m_HasEntries = false; ///< all that the store lists
+  bool m_HasListedEntries = false; ///< the store has listed all entries
   bool m_WasReady = false;
-  bool m_WasOutdated = false; ///< the list of instances
+  bool m_WasListOutdated = false; ///< the instance list
   bool m_Stopped = false;
 };
 
@@ -154,14 +156,15 @@
       m_Requests(m_Io, m_Http, m_Adapter, m_Instances, m_Harmful,
                  Context.m_Settings.m_Bounds.m_Retries,
                  [this](std::string Address, PlaceQuery Query) {
-                   return askPlace(std::move(Address), Query);
+                   return askSlot(std::move(Address), Query);
                  }),
       m_Peers(ownAddress(Context.m_Settings)),
       m_Link(m_Io, Context.m_Incarnation), m_Relay(Context.m_Threads),
-      m_Places(m_Io, m_Link), m_Follower(m_Io, m_Http, *m_Store, m_Adapter,
-                                         {Context.m_Settings.m_Bounds.m_Apply,
-                                          Context.m_Settings.m_Bounds.m_Drain},
-                                         followerCalls(), &m_Relay),
+      m_SlotClient(m_Io, m_Link),
+      m_Follower(m_Io, m_Http, *m_Store, m_Adapter,
+                 {Context.m_Settings.m_Bounds.m_Apply,
+                  Context.m_Settings.m_Bounds.m_Drain},
+                 followerCalls(), &m_Relay),
       m_Callers(
           Context.m_Threads,
           [this](net::HttpRequest Request, net::HttpResponder &Answer) {
@@ -180,9 +183,9 @@
             return answerDirectory(std::move(Request), Answer);
           },
           SmallLimits),
-      m_RegisterWake(m_Io) {
-  m_Requests.setBeliefs([this] { return m_Follower.declarationBelief(); },
-                        [this] { return m_Follower.instancesBelief(); });
+      m_RegisterTimer(m_Io) {
+  m_Requests.setFreshness([this] { return m_Follower.declarationBelief(); },
+                          [this] { return m_Follower.instancesBelief(); });
   m_Instances.setVersionBound(Context.m_Settings.m_Bounds.m_Version);
 }
 
@@ -212,14 +215,14 @@
   };
   Calls.m_OnInstances = [this](const std::vector<FleetInstance> &Listed) {
     m_Instances.setInstances(Listed, now());
-    m_NextSubscribe = {}; // New agents hear at once where weights come from.
+    m_NextSubscribe = {}; // Sends the weights' sources to new agents at once.
     noteReadiness();
   };
   Calls.m_OnWeights = [this](const std::vector<HeardWeights> &Declared) {
     m_Declared = Declared;
     for (const HeardWeights &Each : Declared)
       m_Instances.setWeights({Each.m_Declared}, Each.m_Since);
-    m_NextSubscribe = {}; // Agents hear of it with the next hello.
+    m_NextSubscribe = {}; // Sends a hello with the change to all agents.
   };
   Calls.m_OnNews = [this](const wire::StoreNews &News, NewsReach Reach) {
     wire::LinkMessage Message;
@@ -242,7 +245,7 @@
                                           const std::string &From) {
         onLink(Message, From);
       }));
-  // Same port as the datagrams, so that who hears an entry can ask it.
+  // Same port as the datagrams, so that a receiver of one can query the sender.
   BOOST_LEAF_CHECK(m_Relay.listen(Listen.m_Link));
   m_Follower.start();
   asio::co_spawn(m_Io, registerSelf(), asio::detached);
@@ -267,16 +270,16 @@
            {{"instances", std::uint64_t{m_Instances.size()}}});
 }
 
-/// Says once when nothing is sent any more by the list that is known here, and
-/// once when it is again.
-void Entry::noteListBelief() {
-  const StoreBelief Belief = m_Follower.instancesBelief();
-  if (Belief.m_IsOutdated == m_WasOutdated)
+/// Logs when the cached instance list becomes too old to send requests by, and
+/// when it is current again.
+void Entry::logListFreshness() {
+  const StoreBelief Freshness = m_Follower.instancesBelief();
+  if (Freshness.m_IsOutdated == m_WasListOutdated)
     return;
-  m_WasOutdated = Belief.m_IsOutdated;
+  m_WasListOutdated = Freshness.m_IsOutdated;
   const auto AgeMs =
-      std::chrono::duration_cast<milliseconds>(Belief.m_Age).count();
-  net::log(m_WasOutdated ? Event::ListOutdated : Event::ListCurrent,
+      std::chrono::duration_cast<milliseconds>(Freshness.m_Age).count();
+  net::log(m_WasListOutdated ? Event::ListOutdated : Event::ListCurrent,
            {{"ageMs", static_cast<std::uint64_t>(AgeMs)}});
 }
 
@@ -284,8 +287,8 @@
                                          net::HttpResponder &Answer) {
   const unsigned Status =
       !m_Adapter.isReadyQuery(Request) ? 404 : (isReady() ? 200 : 503);
-  net::HttpResponse Told = net::jsonResponse(Status, "{}");
-  co_await Answer.send(std::move(Told));
+  net::HttpResponse Response = net::jsonResponse(Status, "{}");
+  co_await Answer.send(std::move(Response));
 }
 
 asio::awaitable<void> Entry::answerDirectory(net::HttpRequest Request,
@@ -296,19 +299,19 @@
         net::jsonResponse(404, R"({"error":"no such path"})"));
   const std::vector<std::string> Addresses =
       m_Peers.addressesFor(Query->m_DataCentre, isReady(), now());
-  net::HttpResponse Told =
+  net::HttpResponse Response =
       Addresses.empty()
           ? m_Adapter.ownAnswer(503, "no entry is ready", "", milliseconds(200))
           : m_Adapter.directoryAnswer(
                 Addresses, m_Context.m_Settings.m_Bounds.m_AddressLifetime);
-  co_await Answer.send(std::move(Told));
+  co_await Answer.send(std::move(Response));
 }
 
 void Entry::onLink(const wire::LinkMessage &Message, const std::string &From) {
   if (Message.has_hello() || Message.has_news())
     onEntry(Message, From);
   if (Message.has_place_answer())
-    m_Places.answered(Message.place_answer());
+    m_SlotClient.answered(Message.place_answer());
   if (!Message.has_state())
     return;
   if (m_StateOrder[Message.state().address()].isNewer(Message))
@@ -329,8 +332,8 @@
     m_Follower.hear(Message.hello().known(), Origin);
   if (!Message.has_news())
     return;
-  if (Late > LongestUsualWay && Now >= Known.m_NextLateLine) {
-    Known.m_NextLateLine = Now + LateLineSpan;
+  if (Late > LateUpdateThreshold && Now >= Known.m_NextLateLog) {
+    Known.m_NextLateLog = Now + LateLogInterval;
     net::log(Event::NewsLate,
              {{"from", From},
               {"lateMs",
@@ -340,15 +343,15 @@
   m_Follower.hear(Message.news(), Origin);
 }
 
-/// An instance's agent listens at the same host.
+/// Link address of an instance's agent, which listens on the same host.
 std::string Entry::agentOf(const std::string &InstanceAddress) const {
   return InstanceAddress.substr(0, InstanceAddress.rfind(':')) + ":" +
          std::to_string(m_Context.m_Settings.m_AgentLinkPort);
 }
 
-asio::awaitable<std::optional<PlaceReply>> Entry::askPlace(std::string Address,
-                                                           PlaceQuery Query) {
-  const auto Answer = co_await m_Places.ask(agentOf(Address), Query);
+asio::awaitable<std::optional<SlotReply>> Entry::askSlot(std::string Address,
+                                                         PlaceQuery Query) {
+  const auto Answer = co_await m_SlotClient.ask(agentOf(Address), Query);
   const char *Outcome = !Answer                ? "unanswered"
                         : Answer->is_granted() ? "granted"
                                                : "refused";
@@ -359,7 +362,7 @@
     net::log(Event::PlaceUnanswered, {{"address", Address}});
     co_return std::nullopt;
   }
-  co_return PlaceReply{Answer->is_granted(), reportOf(Answer->state())};
+  co_return SlotReply{Answer->is_granted(), reportOf(Answer->state())};
 }
 
 void Entry::onState(const wire::InstanceState &State) {
@@ -377,15 +380,15 @@
   return Message;
 }
 
-/// A request that was just found to be harmful is told of before hellos are
-/// due; hellos tell it again, and beyond the group.
-void Entry::tellFoundHarmful(TimePoint Now) {
-  if (!m_Harmful.takeFound())
+/// Announces a request that was just found to be harmful before hellos are due;
+/// hellos repeat it, and reach entries beyond the group.
+void Entry::announceHarmful(TimePoint Now) {
+  if (!m_Harmful.takeNewFinding())
     return;
   m_IsWritten = false;
-  m_RegisterWake.cancel();
+  m_RegisterTimer.cancel();
   wire::LinkMessage Message = ownHello();
-  m_Harmful.tell(*Message.mutable_hello());
+  m_Harmful.addTo(*Message.mutable_hello());
   for (const std::string &To : m_Peers.group(Now, NewsReach::All))
     m_Link.send(To, Message);
 }
@@ -398,7 +401,7 @@
     m_Link.send(To, Message);
   if (!Due.m_Telling.empty()) {
     *Hello.mutable_known() = m_Follower.digest();
-    m_Harmful.tell(Hello);
+    m_Harmful.addTo(Hello);
   }
   for (const std::string &To : Due.m_Telling)
     m_Link.send(To, Message);
@@ -406,10 +409,11 @@
   Hello.clear_suspects();
   if (Now < m_NextSubscribe)
     return;
-  m_NextSubscribe = Now + SubscribeSpan;
+  m_NextSubscribe = Now + SubscribeInterval;
   for (const HeardWeights &Each : m_Declared)
     write(Each, Now, *Hello.add_declared());
-  // An agent that knows of a model and of no version takes the first one.
+  // Not without versions: an agent that knows a model but none of its declared
+  // versions loads the first one it finds.
   if (m_Follower.knowsWeights())
     for (const WeightsSource &Each : m_Sources)
       write(Each, *Hello.add_sources());
@@ -421,25 +425,25 @@
   asio::steady_timer Timer(m_Io);
   while (!m_Stopped) {
     const TimePoint Now = now();
-    tellFoundHarmful(Now);
+    announceHarmful(Now);
     sendHellos(Now);
-    m_Harmful.tidy();
+    m_Harmful.removeExpired();
     m_Instances.setEntries(m_Peers.liveCount(Now));
     m_Requests.setEntries(entriesThatRetry(), Now);
     m_Follower.setTurn(m_Peers.ownTurn(Now));
-    noteListBelief();
+    logListFreshness();
     m_Requests.checkSilence(Now);
-    m_Requests.moveFromSwapping(Now);
-    m_Requests.takeBackOverdue(Now);
-    Timer.expires_after(TickSpan);
+    m_Requests.moveStreamsFromSwapping(Now);
+    m_Requests.withdrawOverdue(Now);
+    Timer.expires_after(TickInterval);
     co_await Timer.async_wait(UseAwaitable);
   }
 }
 
-/// Those that share what all entries may retry.
+/// Number of entries that share the retry budget.
 std::size_t Entry::entriesThatRetry() const {
   const std::size_t Known = m_Peers.knownCount();
-  return m_HasEntries ? Known : std::max(Known, EntriesBeforeList);
+  return m_HasListedEntries ? Known : std::max(Known, EntriesBeforeList);
 }
 
 std::string Entry::ownRecord() const {
@@ -458,8 +462,8 @@
   m_Harmful.hear(Known->m_Refused, Record.m_Name);
 }
 
-/// True when the store holds what it is to keep of this entry.
-asio::awaitable<bool> Entry::writeSelf() {
+/// Writes this entry's record; true if the store holds the current record.
+asio::awaitable<bool> Entry::writeOwnRecord() {
   const std::string &Name = m_Peers.own().m_Id.m_Text;
   const auto Created = co_await m_Store->create(EntryKind, Name, ownRecord());
   if (Created)
@@ -469,7 +473,7 @@
   auto Stored = co_await m_Store->get(EntryKind, Name);
   if (!Stored)
     co_return false;
-  // Of before this start: not to be overwritten by what is known now alone.
+  // Written before this start: merged, so that nothing stored is lost.
   learn(*Stored);
   const std::string Json = ownRecord();
   if (Stored->m_Json == Json)
@@ -482,28 +486,29 @@
   TimePoint NextList{};
   while (!m_Stopped) {
     if (!m_IsWritten) {
-      m_IsWritten = true; // Unless there is more to write meanwhile.
-      const bool IsDone = co_await writeSelf();
+      m_IsWritten = true; // Reset if the record changes meanwhile.
+      const bool IsDone = co_await writeOwnRecord();
       m_IsWritten = m_IsWritten && IsDone;
     }
     if (now() >= NextList) {
       const auto List = co_await m_Store->list(EntryKind);
-      m_HasEntries = m_HasEntries || List.has_value();
+      m_HasListedEntries = m_HasListedEntries || List.has_value();
       if (List)
         std::for_each(List->m_Items.begin(), List->m_Items.end(),
                       [this](const net::PlatformObject &Each) { learn(Each); });
-      NextList = now() + (List ? EntriesSpan : RegisterRetrySpan);
+      NextList = now() + (List ? EntriesInterval : RegisterRetryInterval);
     }
-    m_RegisterWake.expires_after(m_IsWritten ? NextList - now()
-                                             : RegisterRetrySpan);
-    co_await m_RegisterWake.async_wait(UseAwaitable);
+    m_RegisterTimer.expires_after(m_IsWritten ? NextList - now()
+                                              : RegisterRetryInterval);
+    co_await m_RegisterTimer.async_wait(UseAwaitable);
   }
 }
 
 void Entry::drain(std::function<void()> OnDone) {
   m_Leaving = true;
   m_Callers.closeAfterAnswers();
-  // Not told by a late hello: callers ask other entries for addresses.
+  // Sent at once: callers ask other entries for addresses, which must not
+  // include this one any more.
   sendHellos(now());
   asio::co_spawn(m_Io, waitUntilDrained(std::move(OnDone)), asio::detached);
 }
@@ -511,7 +516,7 @@
 asio::awaitable<void> Entry::waitUntilDrained(std::function<void()> OnDone) {
   const TimePoint Stop = now();
   const TimePoint End =
-      Stop + m_Context.m_Settings.m_Bounds.m_Grace - GraceSpare;
+      Stop + m_Context.m_Settings.m_Bounds.m_Grace - GraceMargin;
   asio::steady_timer Timer(m_Io);
   bool Accepts = true;
   while (now() < End) {
@@ -529,7 +534,7 @@
 
 void Entry::stop() {
   m_Stopped = true;
-  m_RegisterWake.cancel();
+  m_RegisterTimer.cancel();
   m_Follower.stop();
   m_Link.stop();
   m_Relay.stop();
--- a/src/direct/harmful-watch.cc
+++ b/src/direct/harmful-watch.cc
@@ -14,15 +14,15 @@
 
 namespace {
 
-/// In one hello, which has to stay below the 8 KB of a datagram beside what it
-/// says of the store: each takes up to 220 bytes.
-constexpr std::size_t MostTold = 24;
-/// In one object of the store: each takes some 150 bytes.
-constexpr std::size_t MostStored = 64;
-/// What is older counts no more; also where the time of day was wrong.
-constexpr std::uint64_t MostAgeMs =
+/// Suspects in one hello, which must fit into a datagram of 8 KB together with
+/// its summary of the store: each takes up to 220 bytes.
+constexpr std::size_t MaxHelloSuspects = 24;
+/// Suspects in one stored object: each takes some 150 bytes.
+constexpr std::size_t MaxStoredSuspects = 64;
+/// Older losses are ignored, which also bounds the effect of a wrong clock.
+constexpr std::uint64_t MaxAgeMs =
     std::chrono::milliseconds(std::chrono::hours(1)).count();
-constexpr const char *FoundHere = "here";
+constexpr const char *LocalSource = "here";
 
 std::uint64_t microsOf(Duration Length) {
   const auto Count =
@@ -30,12 +30,12 @@
   return static_cast<std::uint64_t>(std::max<std::int64_t>(Count, 0));
 }
 
-/// What is older than any loss that counts is told as just that old, also where
-/// a number that cannot be came over the link.
+/// Durations above 24 hours, longer than any loss counts, are cut to 24 hours:
+/// a peer may send any number.
 Duration fromMicros(std::uint64_t Count) {
-  constexpr std::chrono::microseconds Most = std::chrono::hours(24);
+  constexpr std::chrono::microseconds MaxLength = std::chrono::hours(24);
   return std::chrono::microseconds(
-      std::min<std::uint64_t>(Count, Most.count()));
+      std::min<std::uint64_t>(Count, MaxLength.count()));
 }
 
 void write(const SuspectRequest &From, TimePoint Now,
@@ -63,8 +63,8 @@
 
 } // namespace
 
-void HarmfulWatch::noteRefused(const RequestFingerprint &Request,
-                               const std::string &From) {
+void HarmfulRequestTracker::recordRefusal(const RequestFingerprint &Request,
+                                          const std::string &From) {
   m_Refused.insert(Request);
   net::log(Event::RequestHarmful,
            {{"fingerprint", textOf(Request)},
@@ -72,8 +72,9 @@
             {"from", From}});
 }
 
-void HarmfulWatch::lost(const RequestFingerprint &Request, const InstanceId &At,
-                        TimePoint Sent, const std::string &AttemptId) {
+void HarmfulRequestTracker::lost(const RequestFingerprint &Request,
+                                 const InstanceId &At, TimePoint Sent,
+                                 const std::string &AttemptId) {
   const bool IsRefusedNow = m_Known.lost(Request, At, Sent, now());
   net::log(Event::InstanceLostUnder,
            {{"request", AttemptId},
@@ -82,16 +83,16 @@
             {"losses", std::uint64_t{m_Known.lossesOf(Request)}}});
   if (!IsRefusedNow)
     return;
-  m_IsFound = true;
-  noteRefused(Request, FoundHere);
+  m_HasNewFinding = true;
+  recordRefusal(Request, LocalSource);
 }
 
-void HarmfulWatch::answered(const RequestFingerprint &Request) {
+void HarmfulRequestTracker::answered(const RequestFingerprint &Request) {
   m_Known.answered(Request, now());
 }
 
 std::optional<Duration>
-HarmfulWatch::refusedFor(const RequestFingerprint &Request) const {
+HarmfulRequestTracker::refusedFor(const RequestFingerprint &Request) const {
   const TimePoint Now = now();
   const auto Until = m_Known.refusedUntil(Request, Now);
   if (!Until)
@@ -99,45 +100,48 @@
   return *Until - Now;
 }
 
-void HarmfulWatch::hear(const wire::EntryHello &Told, const std::string &From) {
+void HarmfulRequestTracker::hear(const wire::EntryHello &Received,
+                                 const std::string &From) {
   const TimePoint Now = now();
-  for (const wire::SuspectRequestState &Each : Told.suspects())
+  for (const wire::SuspectRequestState &Each : Received.suspects())
     hear(read(Each, Now), From);
 }
 
-void HarmfulWatch::hear(const SuspectRequest &Told, const std::string &From) {
+void HarmfulRequestTracker::hear(const SuspectRequest &Received,
+                                 const std::string &From) {
   const TimePoint Now = now();
-  if (!m_Known.hear(Told, Now))
+  if (!m_Known.hear(Received, Now))
     return;
-  // Only here what several have seen is put together.
+  // To be announced only if the received losses alone do not show it, so that
+  // only this entry has combined them with others.
   HarmfulRequests Alone;
-  m_IsFound = m_IsFound || !Alone.hear(Told, Now);
-  noteRefused(Told.m_Request, From);
+  m_HasNewFinding = m_HasNewFinding || !Alone.hear(Received, Now);
+  recordRefusal(Received.m_Request, From);
 }
 
-void HarmfulWatch::hear(const std::vector<RefusedRequest> &Stored,
-                        const std::string &From) {
+void HarmfulRequestTracker::hear(const std::vector<RefusedRequest> &Stored,
+                                 const std::string &From) {
   const std::uint64_t UnixNow = daemon::unixMs();
   for (const RefusedRequest &Each : Stored) {
     // The clock may have been set back since.
     const std::uint64_t AgeMs = UnixNow - std::min(Each.m_LostMs, UnixNow);
-    if (AgeMs >= MostAgeMs)
+    if (AgeMs >= MaxAgeMs)
       continue;
-    SuspectRequest Told{Each.m_Request, {}};
+    SuspectRequest Received{Each.m_Request, {}};
     TimePoint At = now() - milliseconds(AgeMs);
     for (const std::uint64_t Instance : Each.m_Instances) {
-      Told.m_Losses.push_back({Instance, At, At, /*m_IsCleared=*/false});
-      At -= milliseconds(1); // They were one after the other.
+      Received.m_Losses.push_back({Instance, At, At, /*m_IsCleared=*/false});
+      At -= milliseconds(1); // Losses count only one after the other.
     }
-    hear(Told, From);
+    hear(Received, From);
   }
 }
 
-std::vector<RefusedRequest> HarmfulWatch::toStore() const {
+std::vector<RefusedRequest> HarmfulRequestTracker::toStore() const {
   const TimePoint Now = now();
   const std::uint64_t UnixNow = daemon::unixMs();
   std::vector<RefusedRequest> Out;
-  for (const SuspectRequest &Each : m_Known.toTell(MostStored, Now)) {
+  for (const SuspectRequest &Each : m_Known.toTell(MaxStoredSuspects, Now)) {
     if (!m_Known.refusedUntil(Each.m_Request, Now))
       continue;
     RefusedRequest Stored{Each.m_Request, {}, 0};
@@ -152,15 +156,17 @@
   return Out;
 }
 
-void HarmfulWatch::tell(wire::EntryHello &To) const {
+void HarmfulRequestTracker::addTo(wire::EntryHello &To) const {
   const TimePoint Now = now();
-  for (const SuspectRequest &Each : m_Known.toTell(MostTold, Now))
+  for (const SuspectRequest &Each : m_Known.toTell(MaxHelloSuspects, Now))
     write(Each, Now, *To.add_suspects());
 }
 
-bool HarmfulWatch::takeFound() { return std::exchange(m_IsFound, false); }
+bool HarmfulRequestTracker::takeNewFinding() {
+  return std::exchange(m_HasNewFinding, false);
+}
 
-void HarmfulWatch::tidy() {
+void HarmfulRequestTracker::removeExpired() {
   m_Known.forgetOld(now());
   std::erase_if(m_Refused, [this](const RequestFingerprint &Each) {
     if (isRefused(Each))
--- a/src/direct/harmful-watch.h
+++ b/src/direct/harmful-watch.h
@@ -1,5 +1,5 @@
-// What an entry knows of requests that crash their instances: logged where it
-// changes, and told to other entries with hellos.
+// Tracks the requests that crash their instances, logs changes, and exchanges
+// the findings with other entries through hellos and the store.
 #pragma once
 
 #include "deckpitch/harmful-requests.h"
@@ -13,43 +13,49 @@
 
 namespace deckpitch::direct {
 
-/// All on one loop.
-class HarmfulWatch {
+/// Tracks harmful requests at one entry. All calls must be on one event loop.
+class HarmfulRequestTracker {
 public:
+  /// Records that an instance was lost while it ran the request.
   void lost(const RequestFingerprint &Request, const InstanceId &At,
             TimePoint Sent, const std::string &AttemptId);
+  /// Records that an instance answered the request.
   void answered(const RequestFingerprint &Request);
   bool isRefused(const RequestFingerprint &Request) const {
     return refusedFor(Request).has_value();
   }
-  /// Whether an instance was lost under the request since it was answered.
+  /// Whether an instance was lost while it ran the request, and the request has
+  /// not been answered since.
   bool isSuspect(const RequestFingerprint &Request) const {
     return m_Known.lossesOf(Request) > 0;
   }
-  /// How much longer the request is refused; nothing where it is not.
+  /// Returns how much longer the request is refused; nullopt if it is not.
   std::optional<Duration> refusedFor(const RequestFingerprint &Request) const;
 
-  void hear(const wire::EntryHello &Told, const std::string &From);
-  void tell(wire::EntryHello &To) const;
-  /// What an entry's object in the store says, which may be this one's own of
-  /// before its start.
+  /// Merges the suspects that another entry's hello reports.
+  void hear(const wire::EntryHello &Received, const std::string &From);
+  /// Adds this entry's suspects to a hello.
+  void addTo(wire::EntryHello &To) const;
+  /// Merges the refused requests in an entry's stored object, which may be this
+  /// entry's own from before its restart.
   void hear(const std::vector<RefusedRequest> &Stored, const std::string &From);
-  /// What the store is to keep.
+  /// Returns the refused requests to be stored.
   std::vector<RefusedRequest> toStore() const;
-  /// True once after a request was found here to be harmful: others are to be
-  /// told without delay.
-  bool takeFound();
-  /// Forgets what is too old; to be called now and then.
-  void tidy();
+  /// Returns true once after this entry found a request to be harmful, which it
+  /// must announce to the others without delay.
+  bool takeNewFinding();
+  /// Removes expired records; must be called periodically.
+  void removeExpired();
   std::size_t refusedCount() const { return m_Refused.size(); }
 
 private:
-  void hear(const SuspectRequest &Told, const std::string &From);
-  void noteRefused(const RequestFingerprint &Request, const std::string &From);
+  void hear(const SuspectRequest &Received, const std::string &From);
+  void recordRefusal(const RequestFingerprint &Request,
+                     const std::string &From);
 
   HarmfulRequests m_Known;
   std::set<RequestFingerprint> m_Refused;
-  bool m_IsFound = false;
+  bool m_HasNewFinding = false;
 };
 
 } // namespace deckpitch::direct
--- a/src/direct/place-client.cc
+++ b/src/direct/place-client.cc
@@ -13,16 +13,16 @@
 using std::chrono::microseconds;
 
 constexpr auto UseAwaitable = asio::as_tuple(asio::use_awaitable);
-/// Several times what a datagram takes to another region and back; a
-/// noticeable part of no objective.
-constexpr std::chrono::milliseconds AnswerLimit{20};
+/// Several times the round trip of a datagram to another region, and negligible
+/// against any latency objective.
+constexpr std::chrono::milliseconds AnswerTimeout{20};
 
-/// No engine takes so long, nor has so many places: sums of more would pass the
-/// end of the clock.
-constexpr microseconds MostAsked = std::chrono::hours(1);
-constexpr std::uint32_t MostSlots = 100'000;
+/// Upper bounds on received values, beyond those of any engine: sums of larger
+/// times would overflow the clock.
+constexpr microseconds MaxTime = std::chrono::hours(1);
+constexpr std::uint32_t MaxSlots = 100'000;
 
-std::uint64_t usOf(Duration Value) {
+std::uint64_t microsOf(Duration Value) {
   const auto Us = std::chrono::duration_cast<microseconds>(Value).count();
   return Us < 0 ? 0 : static_cast<std::uint64_t>(Us);
 }
@@ -32,17 +32,17 @@
 void write(const PlaceQuery &From, wire::PlaceQuery &To) {
   To.set_slots(From.m_Slots);
   To.set_reserve(From.m_Reserve);
-  To.set_between_ends_us(usOf(From.m_BetweenEnds));
-  To.set_read_us(usOf(From.m_ReadTime));
-  To.set_write_us(usOf(From.m_WriteTime));
-  To.set_first_within_us(usOf(From.m_FirstWithin));
+  To.set_between_ends_us(microsOf(From.m_BetweenEnds));
+  To.set_read_us(microsOf(From.m_ReadTime));
+  To.set_write_us(microsOf(From.m_WriteTime));
+  To.set_first_within_us(microsOf(From.m_FirstWithin));
 }
 
 PlaceQuery read(const wire::PlaceQuery &From) {
   const auto Time = [](std::uint64_t Us) {
-    return microseconds(std::min<std::uint64_t>(Us, MostAsked.count()));
+    return microseconds(std::min<std::uint64_t>(Us, MaxTime.count()));
   };
-  return {std::min(From.slots(), MostSlots),
+  return {std::min(From.slots(), MaxSlots),
           From.reserve(),
           Time(From.between_ends_us()),
           Time(From.read_us()),
@@ -51,10 +51,11 @@
 }
 
 asio::awaitable<std::optional<wire::PlaceAnswer>>
-PlaceClient::ask(const std::string &Agent, const PlaceQuery &Query) {
-  const std::uint64_t Id = ++m_Last;
+SlotClient::ask(const std::string &Agent, const PlaceQuery &Query) {
+  const std::uint64_t Id = ++m_LastId;
   const auto At =
-      m_Waiting.emplace(Id, Waiting{asio::steady_timer(m_Io, AnswerLimit), {}})
+      m_Waiting
+          .emplace(Id, Waiting{asio::steady_timer(m_Io, AnswerTimeout), {}})
           .first;
   wire::LinkMessage Message;
   wire::PlaceQuery &Asked = *Message.mutable_place_query();
@@ -67,9 +68,9 @@
   co_return Answer;
 }
 
-void PlaceClient::answered(const wire::PlaceAnswer &Answer) {
+void SlotClient::answered(const wire::PlaceAnswer &Answer) {
   const auto Found = m_Waiting.find(Answer.id());
-  // One that comes after its limit: the request has gone its way.
+  // The answer arrived after the timeout; the request no longer waits for it.
   if (Found == m_Waiting.end())
     return;
   Found->second.m_Answer = Answer;
--- a/src/direct/place-client.h
+++ b/src/direct/place-client.h
@@ -1,4 +1,4 @@
-// Asks the agent beside an instance whether a request may be sent there.
+// Asks an instance's agent whether a request may be sent to the instance.
 #pragma once
 
 #include "deckpitch/place-ledger.h"
@@ -14,14 +14,16 @@
 
 namespace deckpitch::direct {
 
-/// All on one loop.
-class PlaceClient {
+/// Sends slot queries to agents and matches the answers to them. All calls must
+/// be on one event loop.
+class SlotClient {
 public:
-  PlaceClient(asio::io_context &Io, StateLink &Link) : m_Io(Io), m_Link(Link) {}
+  SlotClient(asio::io_context &Io, StateLink &Link) : m_Io(Io), m_Link(Link) {}
 
-  /// The agent's answer; nothing when none came in time.
+  /// Returns the agent's answer; nullopt if none arrived in time.
   asio::awaitable<std::optional<wire::PlaceAnswer>>
   ask(const std::string &Agent, const PlaceQuery &Query);
+  /// Handles an answer from an agent.
   void answered(const wire::PlaceAnswer &Answer);
 
 private:
@@ -32,8 +34,8 @@
 
   asio::io_context &m_Io;
   StateLink &m_Link;
-  std::uint64_t m_Last = 0;
-  std::map<std::uint64_t, Waiting> m_Waiting; ///< by the question's id
+  std::uint64_t m_LastId = 0;
+  std::map<std::uint64_t, Waiting> m_Waiting; ///< by the query's id
 };
 
 void write(const PlaceQuery &From, wire::PlaceQuery &To);
