--- a/test/suspension.cc
+++ b/test/suspension.cc
@@ -12,7 +12,8 @@
 
 } // namespace
 
-// The linker puts these in the place of the calls of this program's objects.
+// The linker's --wrap option redirects calls in this program's objects to
+// these.
 int realClockGettime(clockid_t Which, timespec *To) asm("__real_clock_gettime");
 int wrappedClockGettime(clockid_t Which,
                         timespec *To) asm("__wrap_clock_gettime");
--- a/test/suspension.h
+++ b/test/suspension.h
@@ -1,12 +1,12 @@
-// The machine seems to have been suspended: CLOCK_BOOTTIME goes on, all other
-// clocks do not. For this test program's own code only.
+// Simulates a suspension of the host: advances CLOCK_BOOTTIME, but no other
+// clock, for the code of this test program only.
 #pragma once
 
 #include <chrono>
 
 namespace deckpitch::test {
 
-/// For good: the clock never goes back.
+/// Advances CLOCK_BOOTTIME permanently by the given time.
 void suspendMachine(std::chrono::milliseconds Length);
 
 } // namespace deckpitch::test
