--- a/src/direct/entry-requests.cc
+++ b/src/direct/entry-requests.cc
@@ -64,9 +64,9 @@
   case ChoiceOutcome::Full:
     return "full";
   case ChoiceOutcome::Resting:
-    return "all instances are backing off";
+    return "all rest";
   case ChoiceOutcome::Unconfirmed:
-    return "no agent confirms that instances are running";
+    return "nobody confirms that instances live";
   case ChoiceOutcome::ListOutdated:
     return "list of instances is outdated";
   }
@@ -170,11 +170,10 @@
   const StoreBelief Freshness = m_DeclarationFreshness();
   if (Freshness.m_IsUnsure)
     co_return co_await refuse(Of, StatusUnavailable,
-                              "declaration may be outdated after a pause",
+                              "stood still, declaration may be old",
                               RetryAfterOutdated);
   if (Freshness.m_IsOutdated)
-    co_return co_await refuse(Of, StatusUnavailable,
-                              "declaration has been superseded",
+    co_return co_await refuse(Of, StatusUnavailable, "declaration is replaced",
                               RetryAfterStart);
   Of.m_Route =
       Routes.find(Of.m_Request.m_Headers.find("Host"), Of.m_Request.path());
@@ -217,7 +216,7 @@
                                                    std::string Reason) {
   if (m_DeclarationFreshness().m_MayBeOld)
     co_return co_await refuse(Of, StatusUnavailable,
-                              Reason + ", declaration may be outdated",
+                              Reason + ", declaration may be old",
                               RetryAfterStart);
   co_await refuse(Of, Status, std::move(Reason), {});
 }
