--- a/include/deckpitch/instance-list.h
+++ b/include/deckpitch/instance-list.h
@@ -1,5 +1,5 @@
-// The platform's list of instances as one value, and what changed between two
-// of them, so that a process can tell others of a change instead of the whole.
+// The platform's list of instances as one value, and the difference between two
+// lists, so that a process can send others a change instead of the whole list.
 #pragma once
 
 #include "deckpitch/fleet.h"
@@ -14,10 +14,10 @@
 
 using InstanceList = std::map<InstanceId, FleetInstance>;
 
-/// Equal for equal lists, in every process.
+/// Returns a hash of the list that is the same in every process.
 std::uint64_t fingerprintOf(const InstanceList &List);
 
-/// Leads from the list with one fingerprint to that with the other.
+/// The difference between two lists, which are named by their fingerprints.
 struct InstanceListChange {
   std::uint64_t m_Before = 0;
   std::uint64_t m_After = 0;
@@ -31,23 +31,26 @@
 InstanceListChange changeBetween(const InstanceList &Before,
                                  const InstanceList &After);
 
-/// Nothing when the change does not lead from this list to the one it names.
+/// Returns the list after the change, or nothing if a fingerprint of the change
+/// does not match.
 std::optional<InstanceList> applyChange(InstanceList To,
                                         const InstanceListChange &Change);
 
-/// Instances whose entries lapsed while the store was away: those that live are
-/// back soon after its return, and until then they count as listed.
+/// Instances whose list entries expired during an outage of the store. Those
+/// that are alive register again soon after it returns, and count as listed
+/// until then.
 class LapsedInstances {
 public:
-  /// The store was back at that moment, after it had been away for all. The
-  /// next list is the first since, as far as this process knows. Heard of
-  /// again, it changes nothing.
+  /// Records that the store returned at that time from an outage that affected
+  /// all processes. The next list is the first one since then, as far as this
+  /// process knows. A repeated notice of the same return changes nothing.
   void storeReturned(TimePoint At);
-  /// When that was, while instances may still come back.
+  /// Returns when the store returned, as long as instances may still register
+  /// again.
   std::optional<TimePoint> returnedLately(TimePoint Now) const;
-  /// What counts as listed: what was read, and those of the known ones that may
-  /// come back. One that a list since the return has held has not lapsed: when
-  /// it is missing later, it has gone.
+  /// Returns the instances that count as listed: those read, and those of the
+  /// known ones that may still register again. An instance that was in a list
+  /// since the return has not expired: if it is missing later, it is gone.
   InstanceList complete(InstanceList Read, const InstanceList &Known,
                         TimePoint Now);
 
--- a/include/deckpitch/instance-table.h
+++ b/include/deckpitch/instance-table.h
@@ -1,5 +1,5 @@
-// What an entry believes of the instances that it calls, and which one takes
-// the next request.
+// The instances known to an entry, their estimated load, and the choice of the
+// instance that takes the next request.
 #pragma once
 
 #include "deckpitch/declared-history.h"
@@ -19,65 +19,72 @@
 
 namespace deckpitch {
 
-/// What an instance's own agent tells of it; never older than the link.
+/// An instance's state as reported by its own agent over the current link.
 struct InstanceReport {
   std::uint32_t m_Running = 0;
   std::uint32_t m_Waiting = 0;
-  bool m_TakesRequests = true; ///< false while it swaps weights
-  bool m_HasSoundLink = false; ///< see versionSpare()
+  bool m_TakesRequests = true; ///< false while it replaces its weights
+  bool m_HasSoundLink = false; ///< its link is sound, see versionSpare()
   std::vector<HeldWeights> m_Weights;
-  /// Until it is to load other weights, where these are ready.
+  /// Time until it will load other weights, if these are ready.
   std::optional<Duration> m_SwapIn;
-  /// Version that it is ordered to load: what waits begins on that; 0: none.
+  /// Version that it has been ordered to load, on which waiting requests will
+  /// begin; 0: none.
   std::uint64_t m_Loading = 0;
-  /// Of the life that it is about, as in FleetInstance; 0: not told.
+  /// Incarnation of the instance, as in FleetInstance; 0: not reported.
   std::uint64_t m_Start = 0;
 
   friend bool operator==(const InstanceReport &,
                          const InstanceReport &) = default;
 };
 
-/// What is asked of the instance that is to take a request.
+/// Requirements of a request on the instance that takes it.
 struct ChoiceQuery {
   ServiceId m_Service;
-  std::string m_Model; ///< empty: a plain service
+  std::string m_Model; ///< empty for a plain service
   std::chrono::milliseconds m_Objective{1'000};
   std::set<InstanceId> m_Tried;
-  std::set<InstanceId> m_Full; ///< whose agents were asked already
-  /// Taken only where no other serves.
+  /// Instances whose agents have already been asked.
+  std::set<InstanceId> m_Full;
+  /// Instances that are chosen only if no other can serve the request.
   std::set<InstanceId> m_Avoided;
-  /// Places of an engine that are to stay free for others.
+  /// Slots of an engine that must stay free for other requests.
   double m_Reserve = 0;
-  StreamSize m_Size; ///< of a request for a model
-  /// Requests by which an instance may be believed over its limit where its
-  /// agent, which knows, is asked before the request is sent.
+  StreamSize m_Size; ///< set for requests to a model
+  /// Number of requests by which an instance's estimated load may exceed its
+  /// limit if its agent, which knows the load, is asked before the request is
+  /// sent.
   double m_AskedBeyond = 0;
-  /// Only instances with these weights may take it; 0: any that may serve.
+  /// Version of the weights that the instance must serve; 0: any that may still
+  /// serve.
   std::uint64_t m_Version = 0;
 };
 
 enum class ChoiceOutcome {
   Chosen,
-  NoInstance,  ///< none is listed, or all were tried
-  NoWeights,   ///< none serves the declared weights yet
-  Full,        ///< none could start the request in time
-  Resting,     ///< all that could take it want nothing for a while
-  Unconfirmed, ///< nobody says that those listed still live
-  ListOutdated ///< who still takes requests is not known here, but elsewhere
+  NoInstance,  ///< no instance is listed, or all were tried
+  NoWeights,   ///< no instance serves the declared weights yet
+  Full,        ///< no instance could start the request in time
+  Resting,     ///< all that could take it have asked for a back-off
+  Unconfirmed, ///< no listed instance is confirmed to be alive
+  ListOutdated ///< other processes have a newer instance list
 };
 
 struct InstanceChoice {
   ChoiceOutcome m_Outcome = ChoiceOutcome::NoInstance;
   InstanceId m_Instance;
   std::string m_Address;
-  double m_Load = 0;      ///< requests believed at the least loaded one
-  double m_Limit = 0;     ///< requests that it may hold
-  Duration m_ReportAge{}; ///< of what the load rests on; 0 without a report
+  double m_Load = 0;  ///< estimated requests at the chosen instance
+  double m_Limit = 0; ///< requests that it may hold
+  Duration
+      /// Age of the report that m_Load is based on; 0 without a report.
+      m_ReportAge{};
   Duration m_RetryAfter{};
 };
 
-/// Objects by id, no clock, no socket. Own requests are counted exactly; those
-/// of other entries come from reports, or are guessed from the own ones.
+/// The instances that an entry can send to. Uses no clock and no socket. The
+/// entry's own requests are counted exactly; those of other entries are taken
+/// from reports, or estimated from the entry's own.
 class InstanceTable {
 public:
   explicit InstanceTable(DataCentreId Own) : m_Own(std::move(Own)) {}
@@ -85,105 +92,118 @@
   void setServices(const std::vector<ServiceDeclaration> &Services);
   void setInstances(const std::vector<FleetInstance> &Listed, TimePoint Now);
   void setWeights(const std::vector<DeclaredWeights> &Declared, TimePoint Now);
-  /// Entries that share the instances, this one included.
+  /// Sets the number of entries that share the instances, this one included.
   void setEntries(std::size_t Count) {
     m_Entries = std::max<std::size_t>(Count, 1);
   }
-  /// Until all instances are to serve a version, from its declaration on.
+  /// Sets the time from the declaration of a version within which all instances
+  /// must serve it.
   void setVersionBound(Duration Bound) { m_VersionBound = Bound; }
 
-  /// False where the report is of another life than the listed one: the listed
-  /// one gets nothing until the report or the list is of the same life.
+  /// Takes a report of the instance at the address. Returns false if the
+  /// address is not listed, or if the report is about another incarnation than
+  /// the listed one, which then gets no requests until report and list agree.
   bool report(const std::string &Address, InstanceReport Report, TimePoint Now);
-  /// Whether an instance may be sent to though its agent does not answer: it is
-  /// known to have lived since it was listed here, or its place in the list is
-  /// proof by now.
+  /// Returns whether requests may be sent to an instance whose agent does not
+  /// answer: it is known to have been alive since it was listed here, or it has
+  /// been listed for long enough to prove that.
   bool isConfirmed(const InstanceId &Id, TimePoint Now) const;
 
   InstanceChoice choose(const ChoiceQuery &Query, TimePoint Now);
 
   void started(const InstanceId &Id, TimePoint Now);
-  /// What the instance's agent is to be asked before the request is sent;
-  /// nothing where no agent is heard, or none is needed.
+  /// Returns the question for the instance's agent before the request is sent,
+  /// or nothing if the agent does not report or no question is needed.
   std::optional<PlaceQuery> placeQuery(const InstanceId &Id,
                                        const ChoiceQuery &Query,
                                        TimePoint Now) const;
-  /// The first token of a request for a model came that long after it was
-  /// sent.
+  /// Records the time from sending a request for a model to its first token.
   void firstToken(const ChoiceQuery &Query, Duration After);
-  /// Its agent did not answer such a question.
+  /// Records that the instance's agent did not answer a question for a slot.
   void unanswered(const InstanceId &Id, TimePoint Now);
-  /// The first byte of a request's answer came: its prompt has been read.
+  /// Records the first byte of a request's answer: its prompt has been read.
   void answering(const InstanceId &Id);
   enum class End { Good, Failed, Neutral };
-  /// For how long the instance is kept out of the choice from now on, where
-  /// this failure is the cause.
+  /// Records the end of a request. Returns how long the instance is ejected
+  /// from now on, if this failure causes an ejection.
   std::optional<Duration> ended(const InstanceId &Id, End How,
                                 bool WasAnswering, TimePoint Now);
-  /// Something came from it.
+  /// Records that data arrived from the instance.
   void heard(const InstanceId &Id, TimePoint Now);
-  /// The version of a model that an instance serves; 0 when it serves none.
+  /// Returns the version of the model that the instance serves; 0 if it serves
+  /// none.
   std::uint64_t versionAt(const InstanceId &Id, const std::string &Model) const;
-  /// By when a request that waits there must have begun, since the weights that
-  /// it would begin on are due to be replaced; nothing where they are not.
+  /// Returns the time by which a request that waits at the instance must have
+  /// begun, because the weights that it would begin on are due for replacement;
+  /// nothing if they are not.
   std::optional<TimePoint> beginBy(const InstanceId &Id,
                                    const std::string &Model) const;
-  /// Instances that have been taking no requests for so long, since they are
-  /// loading other weights.
+  /// Returns instances with requests under way that have accepted no new ones
+  /// for longer than Length, because they are to load other weights.
   std::vector<InstanceId> swappingFor(Duration Length, TimePoint Now) const;
-  /// This life of it says itself that it leaves: for good, whatever a list says
-  /// later, which may be older. True where that is news.
+  /// Records that this incarnation of the instance announced that it is
+  /// leaving. This is final: an instance list that says otherwise later may be
+  /// older. Returns true if it was not known yet.
   bool leaving(const InstanceId &Id);
-  /// It wants nothing from this process until then. True where it was not
-  /// resting before.
+  /// Sends nothing to the instance until then, as it has asked for a back-off.
+  /// Returns true if it was not backing off before.
   bool rest(const InstanceId &Id, TimePoint Until, TimePoint Now);
-  /// An instance ended the connection of a request that was sent to it then.
-  /// True where it lived after that, as far as is known: the request may be why
-  /// it ended, if it did. Something in between may take a connection for an
-  /// instance that is gone.
+  /// Records that an instance closed the connection of a request that was sent
+  /// to it at that time. Returns true if the instance was alive after that, as
+  /// far as is known: the request may have crashed it. A proxy in between may
+  /// accept connections for an instance that is gone.
   bool lost(const InstanceId &Id, TimePoint Sent, TimePoint Now);
-  /// The address now belongs to another life: not to be used any more.
+  /// Records that the address now belongs to another incarnation: the instance
+  /// gets no more requests.
   void replaced(const InstanceId &Id);
-  /// Instances with requests under way whose address another life has by now:
-  /// nothing more will come.
+  /// Returns instances with requests under way whose address now belongs to
+  /// another incarnation, so that no answer will come.
   std::vector<InstanceId> supersededWithRequests() const;
-  /// Instances with requests under way from which nothing has come for so
-  /// long.
+  /// Returns instances with requests under way from which no data has arrived
+  /// for longer than Length.
   std::vector<InstanceId> silentFor(Duration Length, TimePoint Now) const;
 
-  /// That one event of a stream of the service usually holds; 0: not known.
+  /// Returns the number of tokens that one event of the service's streams
+  /// usually holds; 0: not known.
   std::uint32_t tokensPerEvent(const ServiceId &Service) const;
   std::size_t size() const { return m_Instances.size(); }
   const FleetInstance *find(const InstanceId &Id) const;
-  /// Addresses of the instances of services with engines.
+  /// Returns the addresses of the listed instances of services with engines.
   std::vector<std::string> engineAddresses() const;
   std::uint32_t inFlight() const;
 
 private:
   struct Instance {
     FleetInstance m_Listed;
-    bool m_IsListed = true;        ///< false: kept only until its requests end
-    TimePoint m_ListedAt{};        ///< when it was first listed here
-    bool m_IsConfirmed = false;    ///< by its agent, or an answer of its own
-    bool m_IsContradicted = false; ///< its agent knows another life
+    bool m_IsListed = true; ///< false: kept only until its requests end
+    TimePoint m_ListedAt{}; ///< when it was first listed here
+    bool m_IsConfirmed =
+        /// Known to be alive, from its agent or its own answer.
+        false;
+    bool m_HasOtherIncarnation =
+        /// Its agent reports another incarnation.
+        false;
     bool m_IsReplaced = false;
-    bool m_SaysItLeaves = false; ///< itself, beside what the list says
-    TimePoint m_RestsUntil{};
+    bool m_HasAnnouncedLeaving =
+        /// Announced by itself, whatever the list says.
+        false;
+    TimePoint m_BackOffUntil{};
     std::uint32_t m_Own = 0;
-    std::uint32_t m_Unanswered = 0; ///< of these, without a first byte
-    std::uint32_t m_Others = 0;     ///< at the time of the report
+    std::uint32_t m_Unanswered = 0; ///< own requests without a first byte
+    std::uint32_t m_Others = 0; ///< requests of other entries when it reported
     std::optional<TimePoint> m_Reported;
     bool m_TakesRequests = true;
     std::uint64_t m_Loading = 0;
-    TimePoint m_ClosedAt{}; ///< since it takes no requests
+    TimePoint m_ClosedAt{}; ///< when it stopped accepting requests
     bool m_HasSoundLink = false;
     std::optional<TimePoint> m_SwapAt; ///< when it loads other weights
     std::vector<HeldWeights> m_Weights;
     Ejection m_Ejection;
     TimePoint m_Heard{};
-    TimePoint m_LastByte{};            ///< that came from it
-    std::optional<TimePoint> m_LostAt; ///< since then it seems to be gone
-    TimePoint m_AskAgain{};            ///< its agent did not answer before
+    TimePoint m_LastByte{};            ///< last arrival of data from it
+    std::optional<TimePoint> m_LostAt; ///< when it was last found to be gone
+    /// Until then it is passed over, as its agent did not answer.
+    TimePoint m_AskAgain{};
   };
 
   bool isUsable(const InstanceId &Id, const Instance &Each,
@@ -193,7 +213,7 @@
               TimePoint Now) const;
   bool endsBeforeSwap(const Instance &Each, const ChoiceQuery &Query,
                       TimePoint Now) const;
-  Duration beginsWithin(const Instance &Each, TimePoint Now) const;
+  Duration timeUntilBegin(const Instance &Each, TimePoint Now) const;
   const EngineProfile *engineOf(const ServiceId &Service) const;
   bool lives(const Instance &Each, TimePoint Now) const;
   bool isAsked(const Instance &Each, TimePoint Now) const;
--- a/include/deckpitch/link-delay.h
+++ b/include/deckpitch/link-delay.h
@@ -1,4 +1,4 @@
-// How late a sender's messages come, without a clock that both share.
+// Measures how late a sender's messages arrive, without a shared clock.
 #pragma once
 
 #include "deckpitch/time.h"
@@ -11,22 +11,21 @@
 
 namespace deckpitch {
 
-/// Compares each message of one sender with the quickest of the last minutes:
-/// what it took longer, it waited on the way. The quickest one's own time on
-/// the way is not seen; it is some milliseconds. What the sender's former life
-/// sent last is compared with its own: it may come between the first words of
-/// the next one.
+/// Compares each message of one sender with the fastest one of the last
+/// minutes: the difference is time spent queued. The fastest message's own
+/// network delay is not visible; it is some milliseconds. Each incarnation of
+/// the sender is compared with itself, as the last messages of one may arrive
+/// between the first ones of the next.
 class LinkDelay {
 public:
-  /// A message of the sender's process with that incarnation, sent at that
-  /// moment of its own monotonic clock. Gives how much later than the quickest
-  /// one it came.
+  /// Records a message that the sender's process with that incarnation sent at
+  /// that time of its own monotonic clock. Returns how much later it arrived
+  /// than the fastest one.
   template <typename Length>
   Duration note(std::uint64_t Incarnation, Length Sent, TimePoint Received) {
-    const Duration SentAt =
-        std::clamp<Length>(Sent, Length::zero(), LongestRun);
+    const Duration SentAt = std::clamp<Length>(Sent, Length::zero(), MaxUptime);
     const Duration Offset = Received.time_since_epoch() - SentAt;
-    Life &Of = lifeOf(Incarnation, Offset, Received);
+    Life &Of = historyOf(Incarnation, Offset, Received);
     if (Received - Of.m_Since >= Window) {
       Of.m_Former = Of.m_Current;
       Of.m_Current = Offset;
@@ -40,11 +39,12 @@
   struct Life {
     std::uint64_t m_Incarnation = 0;
     TimePoint m_Since{};
-    Duration m_Current{}; ///< least offset of this window
-    Duration m_Former{};  ///< least offset of the one before
+    Duration m_Current{}; ///< smallest offset in this window
+    Duration m_Former{};  ///< smallest offset in the previous window
   };
 
-  Life &lifeOf(std::uint64_t Incarnation, Duration Offset, TimePoint Received) {
+  Life &historyOf(std::uint64_t Incarnation, Duration Offset,
+                  TimePoint Received) {
     for (Life &Each : m_Lives)
       if (Each.m_Incarnation == Incarnation)
         return Each;
@@ -53,14 +53,15 @@
     return m_Lives.front();
   }
 
-  /// Two clocks drift apart by less than 0.1 ms/s, so by 12 ms in two windows.
+  /// Two clocks drift apart by less than 0.1 ms/s, hence by 12 ms in two
+  /// windows.
   static constexpr Duration Window = std::chrono::minutes(1);
-  /// No machine runs for longer: what is told beyond it is wrong.
-  static constexpr auto LongestRun = std::chrono::hours(24 * 365 * 10);
-  /// No datagram is so late that two starts lie between.
-  static constexpr std::size_t LivesKept = 2;
+  /// No instance runs for longer: a time beyond it is invalid.
+  static constexpr auto MaxUptime = std::chrono::hours(24 * 365 * 10);
+  /// No datagram is so late that the sender was restarted twice meanwhile.
+  static constexpr std::size_t HistoriesKept = 2;
 
-  std::array<Life, LivesKept> m_Lives{}; ///< the one that was met last first
+  std::array<Life, HistoriesKept> m_Lives{}; ///< latest new incarnation first
 };
 
 } // namespace deckpitch
--- a/include/deckpitch/place-ledger.h
+++ b/include/deckpitch/place-ledger.h
@@ -1,4 +1,4 @@
-// Which requests an instance may still be sent, decided beside it.
+// Admission of requests to an instance, decided by its agent.
 #pragma once
 
 #include "deckpitch/time.h"
@@ -9,48 +9,53 @@
 
 namespace deckpitch {
 
-/// Requests beyond the slots that an engine may hold, as a share of the slots.
+/// Maximum number of requests that wait at an engine, as a share of its slots.
 inline constexpr double MostQueuedShare = 0.25;
 
-/// What a request asks of an engine, and how soon it wants the first token.
+/// Requirements of a request on an engine, and how soon it needs the first
+/// token.
 struct PlaceQuery {
   std::uint32_t m_Slots = 1;
-  double m_Reserve = 0;     ///< places to be left to others
-  Duration m_BetweenEnds{}; ///< at an engine whose slots are taken
-  Duration m_ReadTime{};    ///< of the prompt
-  Duration m_WriteTime{};   ///< of a pass that reads nothing
-  Duration m_FirstWithin{}; ///< from now on
+  double m_Reserve = 0;     ///< slots to be left free for others
+  Duration m_BetweenEnds{}; ///< between two freed slots of a full engine
+  Duration m_ReadTime{};    ///< time to read the prompt
+  Duration m_WriteTime{};   ///< time of a pass that reads no prompt
+  Duration m_FirstWithin{}; ///< latest first token, from now on
 
   friend bool operator==(const PlaceQuery &, const PlaceQuery &) = default;
 };
 
-/// The load pattern it answers: many entries see the same report, in which an
-/// instance is free, and each sends it a few prompts before the next report.
-/// An engine works in passes: each reads all prompts that came during the one
-/// before, and gives their first tokens when it ends. A burst of prompts thus
-/// makes all of them late, and those that come while it is read as well. One
-/// ledger for each instance counts what all entries have been promised, so no
-/// entry needs to know of the others.
+/// Grants the slots of one instance to the requests of all entries.
+///
+/// Many entries see the same report of a free instance, and each sends it a few
+/// prompts before the next report. An engine works in passes: each reads all
+/// prompts that arrived during the previous one and gives their first tokens at
+/// its end. A burst of prompts therefore delays all of them, and also those
+/// that arrive while it is read. One ledger per instance counts what all
+/// entries have been granted, so that no entry needs to know of the others.
 class PlaceLedger {
 public:
-  /// What the instance says it holds. Promises that cannot show in it yet are
-  /// kept in the count.
+  /// Records the number of requests that the instance reports. Grants that
+  /// cannot show in that number yet remain counted.
   void reported(std::uint32_t Held, TimePoint Now);
-  /// Whether the request may be sent; it is then counted. What has not begun
-  /// when the instance closes is refused there.
+  /// Returns whether the request may be sent, and counts it if so. A request
+  /// that would begin only after the instance closes is refused.
   bool grant(const PlaceQuery &Query, TimePoint Now,
              TimePoint Closes = TimePoint::max());
-  /// Requests that are there or were promised a place.
+  /// Returns the number of requests at the instance or granted a slot.
   std::uint32_t held() const;
 
 private:
   void advance(Duration WriteTime, TimePoint Now);
 
   std::uint32_t m_Reported = 0;
-  std::deque<TimePoint> m_Promised; ///< that the report cannot show yet
-  TimePoint m_PassEnd{};            ///< of the pass that is under way
-  Duration m_NextRead{};            ///< of the prompts promised for the next
-  TimePoint m_NextBy = TimePoint::max(); ///< by when it is to end for these
+  std::deque<TimePoint>
+      m_PendingGrants;   ///< grants that the report cannot show yet
+  TimePoint m_PassEnd{}; ///< end of the current pass
+  Duration
+      m_NextReadTime{}; ///< time to read the prompts granted for the next pass
+  /// Time by which the next pass must end for these prompts.
+  TimePoint m_NextDeadline = TimePoint::max();
 };
 
 } // namespace deckpitch
--- a/include/deckpitch/shared-reading.h
+++ b/include/deckpitch/shared-reading.h
@@ -1,7 +1,7 @@
-// Which of several processes reads a subject from the platform's store, and
-// when: one reads and tells the others, who read themselves only when it has
-// not told them anything for too long. No election: each process decides for
-// itself from the age of what it knows.
+// Decides which of several processes reads a subject from the platform's store,
+// and when: one reads and sends the result to the others, which read for
+// themselves only if nothing has arrived for too long. There is no election:
+// each process decides from the age of its cached view.
 #pragma once
 
 #include "deckpitch/time.h"
@@ -14,42 +14,44 @@
 namespace deckpitch {
 
 struct ReadingPlan {
-  Duration m_Every{};    ///< between two reads of the first process
-  Duration m_TakeOver{}; ///< age after which the next ones read
-  Duration m_TurnStep{}; ///< that much later for each process before it
-  Duration m_LastTurn{}; ///< at most that much later
-  Duration m_Stale{};    ///< age after which the store counts as away
+  Duration m_Interval{};    ///< between two reads of the first process
+  Duration m_TakeOverAge{}; ///< age after which the next processes read
+  Duration m_RankDelay{};   ///< additional delay for each process ranked before
+  Duration m_MaxRankDelay{}; ///< maximum of these additional delays
+  Duration m_StaleAge{}; ///< age after which the store counts as unavailable
 
   friend bool operator==(const ReadingPlan &, const ReadingPlan &) = default;
 };
 
-/// Where a process stands among those that may read. They take over from the
-/// first one in each data centre apart: a reading that crosses the link between
-/// two regions is then told to the others beside it.
+/// Rank of a process among those that may read. Each data centre takes over
+/// from the first process independently, so that a read that crosses the link
+/// between two regions is then passed on to the other processes near it.
 struct ReadingTurn {
-  std::size_t m_All = 0;  ///< processes before it
-  std::size_t m_Near = 0; ///< of these, in its own data centre
+  std::size_t m_All = 0;  ///< processes ranked before it
+  std::size_t m_Near = 0; ///< those of them in its own data centre
 
   friend bool operator==(const ReadingTurn &, const ReadingTurn &) = default;
 };
 
-/// What another process says that it knew, and how that came here.
+/// What another process reported about its cached view, and how the report
+/// arrived.
 struct ToldReading {
-  Duration m_Age{};         ///< at its sending
-  Duration m_Late{};        ///< how much longer than usual it took
-  bool m_IsNear = false;    ///< from the own data centre
-  bool m_IsRelayed = false; ///< that process has it from another one
+  Duration m_Age{};         ///< age of the view when sent
+  Duration m_Late{};        ///< how much longer than usual the report took
+  bool m_IsNear = false;    ///< sent from the own data centre
+  bool m_IsRelayed = false; ///< the sender has it from another process
 
   friend bool operator==(const ToldReading &, const ToldReading &) = default;
 };
 
-/// Taken off what is told at second hand, each time: more than the way within a
-/// data centre takes. What two processes tell each other again and again would
-/// else become fresher with each message, though nobody reads the store.
-inline constexpr Duration RelayAllowance = std::chrono::milliseconds(25);
+/// Added to the age of relayed reports, each time: more than the network delay
+/// within a data centre. Otherwise two processes that report to each other
+/// would make their views appear fresher with each message, though neither
+/// reads the store.
+inline constexpr Duration RelayMargin = std::chrono::milliseconds(25);
 
-/// When the store held what is told; nothing where that is not certain: the way
-/// between data centres may be longer than what is taken off.
+/// Returns when the store held the reported view, or nothing if that is not
+/// certain: the delay between data centres may exceed RelayMargin.
 inline std::optional<TimePoint> asOfTold(const ToldReading &Told,
                                          TimePoint Now) {
   const TimePoint AsOf = Now - Told.m_Age - Told.m_Late;
@@ -57,21 +59,21 @@
     return AsOf;
   if (!Told.m_IsNear)
     return std::nullopt;
-  return AsOf - RelayAllowance;
+  return AsOf - RelayMargin;
 }
 
-/// What one process knows of one subject was true at a moment in the past,
-/// whoever read it. No clock of its own.
+/// The age of one process's cached view of one subject, whichever process read
+/// it. Has no clock of its own.
 class SharedReading {
 public:
   explicit SharedReading(ReadingPlan Plan) : m_Plan(Plan) {}
 
-  /// The first process reads as long as it can.
+  /// Sets the rank of this process; the first process reads as long as it can.
   void setTurn(ReadingTurn Turn) { m_Turn = Turn; }
   bool isFirst() const { return m_Turn.m_All == 0; }
 
-  /// The store held what is known at that moment, as this process has read or
-  /// another has told it. Older news changes nothing.
+  /// Records that the store held the cached view at that time, as read by this
+  /// process or reported by another. An older time changes nothing.
   void confirm(TimePoint AsOf, bool IsRelayed = false) {
     if (AsOf < m_AsOf)
       return;
@@ -79,46 +81,49 @@
     m_IsRelayed = IsRelayed;
     m_IsBehind = false;
   }
-  /// Another process knows something newer, to be read here after that time.
+  /// Records that another process knows a newer version, to be read here after
+  /// Wait.
   void noteBehind(TimePoint Now, Duration Wait) {
     if (!m_IsBehind)
       m_BehindSince = Now;
     m_ReadAt = m_IsBehind ? std::min(m_ReadAt, Now + Wait) : Now + Wait;
     m_IsBehind = true;
   }
-  /// Another process said at that moment what it knew, no less than this one.
+  /// Records that another process reported its view at that time, which was at
+  /// least as new as the one here.
   void noteTold(TimePoint At) { m_ToldAt = std::max(m_ToldAt, At); }
-  /// What the others knew is known here too.
+  /// Records that the newer version of the others has arrived here.
   void noteCaughtUp() { m_IsBehind = false; }
 
   TimePoint asOf() const { return m_AsOf; }
-  /// Whether that moment is known from another process only.
+  /// Returns whether that time is known from another process only.
   bool isRelayed() const { return m_IsRelayed; }
   bool isBehind() const { return m_IsBehind; }
-  TimePoint toldAt() const { return m_ToldAt; }
-  /// How long something newer has been known to exist.
+  TimePoint lastReportAt() const { return m_ToldAt; }
+  /// Returns how long a newer version has been known to exist.
   Duration behindFor(TimePoint Now) const {
     return m_IsBehind ? Now - m_BehindSince : Duration::zero();
   }
-  /// How long this process leaves a reading to those beside it that come first.
+  /// Returns how long this process waits for those ranked before it in its data
+  /// centre to read.
   Duration turnWait() const {
     const auto Before = static_cast<Duration::rep>(m_Turn.m_Near);
-    return std::min(m_Plan.m_TurnStep * Before, m_Plan.m_LastTurn);
+    return std::min(m_Plan.m_RankDelay * Before, m_Plan.m_MaxRankDelay);
   }
-  /// When this process is to read; at once while nothing is known.
+  /// Returns when this process must read; at once while nothing is known.
   TimePoint due() const {
     if (m_AsOf == TimePoint{})
       return TimePoint{};
     if (m_IsBehind)
       return m_ReadAt;
     if (isFirst())
-      return m_AsOf + m_Plan.m_Every;
-    return m_AsOf + m_Plan.m_TakeOver + turnWait();
+      return m_AsOf + m_Plan.m_Interval;
+    return m_AsOf + m_Plan.m_TakeOverAge + turnWait();
   }
-  /// Nobody could confirm it for so long: the store was away, for this process
-  /// at least.
+  /// Returns whether no process has confirmed the view for so long that the
+  /// store must have been unavailable, at least to this process.
   bool isStale(TimePoint Now) const {
-    return m_AsOf != TimePoint{} && Now - m_AsOf > m_Plan.m_Stale;
+    return m_AsOf != TimePoint{} && Now - m_AsOf > m_Plan.m_StaleAge;
   }
 
 private:
--- a/src/kernel/instance-list.cc
+++ b/src/kernel/instance-list.cc
@@ -9,12 +9,13 @@
 
 namespace {
 
-/// After the length of each field, so that two fields never read like two
-/// others, whatever is in them.
+/// Ends the length that precedes each field, so that no two fields read like
+/// two others, whatever they hold.
 constexpr char LengthEnd = ':';
-/// The platform's word: those that live are back within two seconds. Lists come
-/// each half second, so that the last look is a little before.
-constexpr Duration LapsedReturn = std::chrono::milliseconds(1'900);
+/// The platform guarantees that live instances are listed again within two
+/// seconds. Lists are read every half second, so the last read is a little
+/// earlier.
+constexpr Duration ReregistrationTimeout = std::chrono::milliseconds(1'900);
 
 void add(std::string &Text, const std::string &Field) {
   Text += std::to_string(Field.size());
@@ -66,14 +67,14 @@
 }
 
 void LapsedInstances::storeReturned(TimePoint At) {
-  if (At - m_Returned < LapsedReturn)
+  if (At - m_Returned < ReregistrationTimeout)
     return;
   m_Returned = At;
   m_IsFirst = true;
 }
 
 std::optional<TimePoint> LapsedInstances::returnedLately(TimePoint Now) const {
-  if (Now - m_Returned >= LapsedReturn)
+  if (Now - m_Returned >= ReregistrationTimeout)
     return std::nullopt;
   return m_Returned;
 }
@@ -84,12 +85,13 @@
   if (m_IsFirst)
     m_Lapsed = Known;
   m_IsFirst = false;
-  if (Now - m_Returned >= LapsedReturn)
+  if (Now - m_Returned >= ReregistrationTimeout)
     m_Lapsed.clear();
   std::set<std::string> Addresses;
   for (const auto &[Id, Each] : Read)
     Addresses.insert(Each.m_Address);
-  // One whose address another life has is gone for good.
+  // An instance whose address has passed to another incarnation is gone for
+  // good.
   std::erase_if(m_Lapsed, [&](const auto &Each) {
     return Each.second.m_IsLeaving || Read.contains(Each.first) ||
            Addresses.contains(Each.second.m_Address);
--- a/src/kernel/instance-table.cc
+++ b/src/kernel/instance-table.cc
@@ -12,42 +12,43 @@
 
 using std::chrono::milliseconds;
 
-/// A report that old no longer tells how many requests others have there:
-/// several times the span between two reports.
+/// Age from which a report no longer shows how many requests other entries have
+/// there: several times the interval between two reports.
 constexpr Duration ReportLifetime = std::chrono::milliseconds(800);
 /// Requests that a plain service may hold for each of its slots: one that runs
 /// and one that is next.
 constexpr double PlainServiceDepth = 2;
-/// What a call to another data centre costs, in requests at the instance: its
-/// bytes are paid for, and a few requests more change little at an engine that
-/// still has places.
-constexpr double FarPenalty = 3;
-/// What a request whose prompt is not yet read adds to the wait of the next
-/// one, against one that only writes.
+/// Cost of a call to another data centre, as a number of requests at the
+/// instance: its traffic is paid for, and a few more requests make little
+/// difference at an engine that has free slots.
+constexpr double RemotePenalty = 3;
+/// Weight of a request whose prompt has not been read yet, compared with one
+/// that only generates tokens, in the waiting time of the next request.
 constexpr double UnansweredWeight = 3;
-/// Instances that one choice looks at.
-constexpr std::size_t Candidates = 3;
-/// How much longer than its swap a stream may take: what it runs over by is
-/// waited for while nothing else may begin there.
+/// Number of instances that one choice compares.
+constexpr std::size_t CandidatesCompared = 3;
+/// Time by which a stream may run past the start of the swap to other weights.
+/// The swap waits for it, and nothing else may begin there meanwhile.
 constexpr Duration SwapOverrun = std::chrono::milliseconds(250);
-/// An instance whose agent did not answer is passed over for so long while
-/// others do: about what lies before a question on a full link.
-constexpr Duration AskRest = std::chrono::milliseconds(100);
-/// Retrying sooner would meet the same requests; with the caller's own way,
-/// later leaves too little of an objective of 300 ms. With 60 to 90 ms, 1,707
-/// of 2,291 callers served when they came back were past 290 ms.
+/// Time for which an instance whose agent did not answer is passed over while
+/// others answer: about the queueing delay of a question on a full link.
+constexpr Duration UnansweredBackOff = std::chrono::milliseconds(100);
+/// Retrying sooner would meet the same requests. Together with the caller's own
+/// round trip, a longer delay leaves too little of an objective of 300 ms: with
+/// 60 to 90 ms, 1,707 of 2,291 retries that were served came after 290 ms.
 constexpr Duration LeastRetryAfter = std::chrono::milliseconds(25);
-/// For how long an instance of which nothing is known but its place in the list
-/// may be gone: the platform lists one for three of its signs of life, each 1.2
-/// s apart, and the list is read each 0.75 s.
-constexpr Duration UnconfirmedSpan = std::chrono::milliseconds(4'500);
-/// Until weights arrive or instances come back: a copy of some MB takes two to
-/// four seconds over links of some Mbit/s.
+/// Time for which an instance that is only listed may already be gone: the
+/// platform keeps an instance listed for three heartbeat intervals of 1.2 s,
+/// and the list is read every 0.75 s.
+constexpr Duration UnconfirmedTimeout = std::chrono::milliseconds(4'500);
+/// Retry delay while no instance can serve: copying some MB of weights takes
+/// two to four seconds over links of some Mbit/s.
 constexpr Duration RetryAfterNothing = std::chrono::milliseconds(2'000);
 
-/// Leaves those for which the condition holds, or all where it holds for none.
+/// Removes the elements for which the condition does not hold, unless it holds
+/// for none.
 template <typename T, typename Condition>
-void keepAny(std::vector<T> &Of, Condition &&Holds) {
+void preferWhere(std::vector<T> &Of, Condition &&Holds) {
   const auto End = std::partition(Of.begin(), Of.end(), Holds);
   if (End != Of.begin())
     Of.erase(End, Of.end());
@@ -76,7 +77,7 @@
     }
     const bool HasFreshReport =
         Known.m_Reported && Now - *Known.m_Reported < ReportLifetime;
-    if (!HasFreshReport && !Known.m_IsContradicted)
+    if (!HasFreshReport && !Known.m_HasOtherIncarnation)
       Known.m_Weights = Each.m_Weights;
     Known.m_Listed = Each;
     Known.m_IsListed = true;
@@ -99,12 +100,14 @@
   if (Id == m_ByAddress.end())
     return false;
   Instance &Known = m_Instances.at(Id->second);
-  // The list and the report come by different ways, either may be older. What
-  // the newer life holds shows when both speak of it.
-  const bool IsOtherLife = Report.m_Start != 0 && Known.m_Listed.m_Start != 0 &&
-                           Report.m_Start != Known.m_Listed.m_Start;
-  Known.m_IsContradicted = IsOtherLife;
-  if (IsOtherLife) {
+  // The list and the report arrive on different paths, and either may be the
+  // older one. The weights of the newer incarnation are known once both are
+  // about it.
+  const bool IsOtherIncarnation = Report.m_Start != 0 &&
+                                  Known.m_Listed.m_Start != 0 &&
+                                  Report.m_Start != Known.m_Listed.m_Start;
+  Known.m_HasOtherIncarnation = IsOtherIncarnation;
+  if (IsOtherIncarnation) {
     Known.m_Weights.clear();
     Known.m_Reported.reset();
     return false;
@@ -126,9 +129,9 @@
   return true;
 }
 
-/// Until a request that is sent now begins there.
-Duration InstanceTable::beginsWithin(const Instance &Each,
-                                     TimePoint Now) const {
+/// Returns the estimated time until a request that is sent now begins there.
+Duration InstanceTable::timeUntilBegin(const Instance &Each,
+                                       TimePoint Now) const {
   const EngineProfile *Engine = engineOf(Each.m_Listed.m_Service);
   return Engine ? waitUntilBegin(*Engine, loadOf(Each, Now)) : Duration::zero();
 }
@@ -139,12 +142,13 @@
   const auto Wanted = m_Wanted.find(Model);
   const bool IsFresh =
       Each.m_Reported && Now - *Each.m_Reported < ReportLifetime;
-  // Its agent knows the link of its machine, and nobody the one between data
-  // centres, which weights fill: requests were there 1.3 s after their sending.
+  // The agent knows its own instance's link, but no process knows the link
+  // between data centres, which weights may fill: requests arrived there 1.3 s
+  // after they were sent.
   const bool IsNear = Each.m_Listed.m_DataCentre == m_Own;
   const bool IsSound = IsFresh && Each.m_HasSoundLink && IsNear;
   const Duration Grace =
-      m_VersionBound - versionSpare(IsSound) - beginsWithin(Each, Now);
+      m_VersionBound - versionSpare(IsSound) - timeUntilBegin(Each, Now);
   return std::any_of(
       Each.m_Weights.begin(), Each.m_Weights.end(),
       [&](const HeldWeights &Held) {
@@ -176,7 +180,8 @@
   return *Behind + m_VersionBound;
 }
 
-/// Whether the request would have ended when the instance loads other weights.
+/// Returns whether the request would end before the instance loads other
+/// weights, or overrun by less than SwapOverrun.
 bool InstanceTable::endsBeforeSwap(const Instance &Each,
                                    const ChoiceQuery &Query,
                                    TimePoint Now) const {
@@ -197,7 +202,8 @@
       Each.m_Reported && Now - *Each.m_Reported < ReportLifetime;
   if (IsFresh)
     return Each.m_Own + Each.m_Others;
-  // Without a report the other entries are taken to be as busy as this one.
+  // Without a report, each other entry is assumed to have as many requests
+  // there as this one.
   return static_cast<double>(Each.m_Own) * static_cast<double>(m_Entries);
 }
 
@@ -210,25 +216,26 @@
 
 bool InstanceTable::isUsable(const InstanceId &Id, const Instance &Each,
                              const ChoiceQuery &Query) const {
-  const bool IsLeaving = Each.m_Listed.m_IsLeaving || Each.m_SaysItLeaves;
+  const bool IsLeaving =
+      Each.m_Listed.m_IsLeaving || Each.m_HasAnnouncedLeaving;
   return Each.m_IsListed && !Each.m_IsReplaced && !IsLeaving &&
          Each.m_Listed.m_Service == Query.m_Service &&
          !Query.m_Tried.contains(Id) && !Query.m_Full.contains(Id);
 }
 
-/// Lower is better, in requests.
+/// Returns the instance's cost as a number of requests; lower is better.
 double InstanceTable::scoreOf(const Instance &Each, TimePoint Now) {
   std::uniform_real_distribution<double> Tie(0, 0.5);
   const bool IsFar = Each.m_Listed.m_DataCentre != m_Own;
   return loadOf(Each, Now) + UnansweredWeight * Each.m_Unanswered +
-         (IsFar ? FarPenalty : 0) + Tie(m_Random);
+         (IsFar ? RemotePenalty : 0) + Tie(m_Random);
 }
 
 InstanceChoice InstanceTable::choose(const ChoiceQuery &Query, TimePoint Now) {
   InstanceChoice Best;
   std::vector<std::map<InstanceId, Instance>::iterator> Usable;
   bool LacksWeights = false;
-  std::optional<TimePoint> FirstRested;
+  std::optional<TimePoint> EarliestBackOffEnd;
   for (auto It = m_Instances.begin(); It != m_Instances.end(); ++It) {
     const Instance &Each = It->second;
     if (!isUsable(It->first, Each, Query))
@@ -236,30 +243,32 @@
     const bool Serves = Query.m_Model.empty() ||
                         (Each.m_TakesRequests && serves(Each, Query, Now));
     LacksWeights = LacksWeights || !Serves;
-    if (Serves && Each.m_RestsUntil > Now)
-      FirstRested =
-          std::min(FirstRested.value_or(Each.m_RestsUntil), Each.m_RestsUntil);
+    if (Serves && Each.m_BackOffUntil > Now)
+      EarliestBackOffEnd =
+          std::min(EarliestBackOffEnd.value_or(Each.m_BackOffUntil),
+                   Each.m_BackOffUntil);
     else if (Serves)
       Usable.push_back(It);
   }
-  // Ejected ones only where there is no other: a broken instance may still
-  // serve some, an absent one none.
-  keepAny(Usable, [Now](const auto &Each) {
+  // Ejected instances are used only if there is no other: a faulty instance may
+  // still serve some requests, a missing one none.
+  preferWhere(Usable, [Now](const auto &Each) {
     return Each->second.m_Ejection.until() <= Now;
   });
-  // Nor ones whose agents have just not answered.
-  keepAny(Usable,
-          [Now](const auto &Each) { return Now >= Each->second.m_AskAgain; });
-  // Nor ones that load other weights before the request would end.
-  keepAny(Usable, [&](const auto &Each) {
+  // Prefers instances whose agents have not just failed to answer.
+  preferWhere(Usable, [Now](const auto &Each) {
+    return Now >= Each->second.m_AskAgain;
+  });
+  // Prefers instances that will not load other weights before the request ends.
+  preferWhere(Usable, [&](const auto &Each) {
     return endsBeforeSwap(Each->second, Query, Now);
   });
-  keepAny(Usable, [&](const auto &Each) {
+  preferWhere(Usable, [&](const auto &Each) {
     return !Query.m_Avoided.contains(Each->first);
   });
-  if (Usable.empty() && FirstRested) {
+  if (Usable.empty() && EarliestBackOffEnd) {
     Best.m_Outcome = ChoiceOutcome::Resting;
-    Best.m_RetryAfter = *FirstRested - Now;
+    Best.m_RetryAfter = *EarliestBackOffEnd - Now;
     return Best;
   }
   if (Usable.empty()) {
@@ -268,15 +277,15 @@
     Best.m_RetryAfter = RetryAfterNothing;
     return Best;
   }
-  // Entries see the same reports. If all took the least loaded instance, one
-  // that has just become free would be sent a burst of prompts at once: with
-  // all candidates, 49 of 100 first tokens at instances with one request came
-  // after 400 ms, against 3 at those with eight.
+  // All entries see the same reports. If each took the least loaded instance,
+  // one that has just become free would receive a burst of prompts: when all
+  // instances were compared, 49 of 100 first tokens at instances with one
+  // request came after 400 ms, against 3 at those with eight.
   std::shuffle(Usable.begin(), Usable.end(), m_Random);
   double BestScore = std::numeric_limits<double>::max();
   const Instance *Chosen = nullptr;
   for (std::size_t I = 0; I < Usable.size(); ++I) {
-    const bool IsSampleFull = I >= Candidates;
+    const bool IsSampleFull = I >= CandidatesCompared;
     if (IsSampleFull && Best.m_Load < Best.m_Limit)
       break;
     const Instance &Each = Usable[I]->second;
@@ -363,10 +372,11 @@
   if (WasGone)
     return false;
   Known.m_LostAt = Now;
-  // Silence does not tell whether it had begun. Only engines have agents.
-  const bool IsVouchedFor =
+  // That no data came does not show whether the request had begun. Only engines
+  // have agents.
+  const bool IsReportedAlive =
       Known.m_Reported && Sent - *Known.m_Reported < ReportLifetime;
-  return IsVouchedFor || !engineOf(Known.m_Listed.m_Service);
+  return IsReportedAlive || !engineOf(Known.m_Listed.m_Service);
 }
 
 bool InstanceTable::leaving(const InstanceId &Id) {
@@ -374,8 +384,9 @@
   if (Found == m_Instances.end())
     return false;
   Instance &Known = Found->second;
-  const bool IsNews = !Known.m_SaysItLeaves && !Known.m_Listed.m_IsLeaving;
-  Known.m_SaysItLeaves = true;
+  const bool IsNews =
+      !Known.m_HasAnnouncedLeaving && !Known.m_Listed.m_IsLeaving;
+  Known.m_HasAnnouncedLeaving = true;
   return IsNews;
 }
 
@@ -383,7 +394,7 @@
   const auto Found = m_Instances.find(Id);
   if (Found == m_Instances.end())
     return false;
-  TimePoint &RestsUntil = Found->second.m_RestsUntil;
+  TimePoint &RestsUntil = Found->second.m_BackOffUntil;
   const bool IsNews = RestsUntil <= Now;
   RestsUntil = std::max(RestsUntil, Until);
   return IsNews;
@@ -420,10 +431,10 @@
   return Found != m_Instances.end() && lives(Found->second, Now);
 }
 
-/// As far as is known; see isConfirmed().
+/// Returns whether the instance is alive as far as is known; see isConfirmed().
 bool InstanceTable::lives(const Instance &Each, TimePoint Now) const {
   return Each.m_IsConfirmed || !engineOf(Each.m_Listed.m_Service) ||
-         Now - Each.m_ListedAt >= UnconfirmedSpan;
+         Now - Each.m_ListedAt >= UnconfirmedTimeout;
 }
 
 bool InstanceTable::isAsked(const Instance &Each, TimePoint Now) const {
@@ -454,7 +465,7 @@
 void InstanceTable::unanswered(const InstanceId &Id, TimePoint Now) {
   const auto Found = m_Instances.find(Id);
   if (Found != m_Instances.end())
-    Found->second.m_AskAgain = Now + AskRest;
+    Found->second.m_AskAgain = Now + UnansweredBackOff;
 }
 
 std::uint32_t InstanceTable::tokensPerEvent(const ServiceId &Service) const {
--- a/src/kernel/place-ledger.cc
+++ b/src/kernel/place-ledger.cc
@@ -6,37 +6,38 @@
 
 namespace {
 
-/// From a promise until the request shows at the instance: the answer's way to
-/// another region and the request's way back, on a new connection.
-constexpr Duration ShowsAfter = std::chrono::milliseconds(12);
+/// Time from a grant until the request shows at the instance: the answer's
+/// delay to another region and the request's way back, on a new connection.
+constexpr Duration ReportDelay = std::chrono::milliseconds(12);
 
 } // namespace
 
 void PlaceLedger::reported(std::uint32_t Held, TimePoint Now) {
   m_Reported = Held;
-  while (!m_Promised.empty() && Now - m_Promised.front() > ShowsAfter)
-    m_Promised.pop_front();
+  while (!m_PendingGrants.empty() &&
+         Now - m_PendingGrants.front() > ReportDelay)
+    m_PendingGrants.pop_front();
   if (held() == 0)
     m_PassEnd = std::min(m_PassEnd, Now);
 }
 
 std::uint32_t PlaceLedger::held() const {
-  return m_Reported + static_cast<std::uint32_t>(m_Promised.size());
+  return m_Reported + static_cast<std::uint32_t>(m_PendingGrants.size());
 }
 
-/// Goes on to the pass that is under way now.
+/// Advances the state to the pass that is current at Now.
 void PlaceLedger::advance(Duration WriteTime, TimePoint Now) {
-  if (m_PassEnd <= Now && m_NextRead > Duration::zero()) {
-    m_PassEnd += WriteTime + m_NextRead;
-    m_NextRead = {};
-    m_NextBy = TimePoint::max();
+  if (m_PassEnd <= Now && m_NextReadTime > Duration::zero()) {
+    m_PassEnd += WriteTime + m_NextReadTime;
+    m_NextReadTime = {};
+    m_NextDeadline = TimePoint::max();
   }
   if (m_PassEnd > Now)
     return;
-  // The pass it was kept for has ended, also where nothing was to be read in it
-  // (no prompt): an old limit would refuse all later requests.
-  m_NextBy = TimePoint::max();
-  // Passes that only write, or none.
+  // The pass that the limit was for has ended, also if it had no prompt to
+  // read: an outdated limit would refuse all later requests.
+  m_NextDeadline = TimePoint::max();
+  // Passes since then read no prompts, or there were none.
   const bool IsIdle = held() == 0 || WriteTime <= Duration::zero();
   m_PassEnd = IsIdle ? Now : Now + WriteTime - (Now - m_PassEnd) % WriteTime;
 }
@@ -51,13 +52,14 @@
   const Duration ForSlot(static_cast<Duration::rep>(
       Queued * static_cast<double>(Query.m_BetweenEnds.count())));
   const TimePoint Begin = std::max(m_PassEnd, Now + ForSlot);
-  const Duration Read = m_NextRead + Query.m_ReadTime;
-  const TimePoint By = std::min({m_NextBy, Now + Query.m_FirstWithin, Closes});
+  const Duration Read = m_NextReadTime + Query.m_ReadTime;
+  const TimePoint By =
+      std::min({m_NextDeadline, Now + Query.m_FirstWithin, Closes});
   if (Begin + Query.m_WriteTime + Read > By)
     return false;
-  m_Promised.push_back(Now);
-  m_NextRead = Read;
-  m_NextBy = By;
+  m_PendingGrants.push_back(Now);
+  m_NextReadTime = Read;
+  m_NextDeadline = By;
   return true;
 }
 
--- a/test/instance-table-test.cc
+++ b/test/instance-table-test.cc
@@ -25,16 +25,16 @@
   return Out;
 }
 
-class Instances : public testing::Test {
+class InstanceTableTest : public testing::Test {
 protected:
-  Instances() {
+  InstanceTableTest() {
     ServiceDeclaration Service;
     Service.m_Id = Pool;
     Service.m_Engine = EngineProfile{.m_Slots = 4};
     m_Table.setServices({Service});
     m_Query.m_Service = Pool;
     m_Query.m_Model = "m";
-    m_Query.m_Objective = 1ms; // No room beside the slots.
+    m_Query.m_Objective = 1ms; // No queue besides the slots.
   }
 
   void list(std::vector<FleetInstance> List) {
@@ -53,8 +53,8 @@
   ChoiceQuery m_Query;
 };
 
-/// The list that is read next may be older than the instance's own word.
-TEST_F(Instances, OneThatSaysItLeavesGetsNothingWhateverTheListSays) {
+/// The next instance list may be older than the instance's own announcement.
+TEST_F(InstanceTableTest, NoRequestsAfterItsOwnLeaveAnnouncement) {
   list({listed("i")});
   EXPECT_TRUE(m_Table.leaving({"i"}));
   EXPECT_FALSE(m_Table.leaving({"i"}));
@@ -64,9 +64,9 @@
   EXPECT_FALSE(m_Table.leaving({"unknown"}));
 }
 
-/// Connections to one that was gone were taken by something in between and
-/// ended at once, and whatever was sent there seemed to have crashed it.
-TEST_F(Instances, OnlyWhatWasSentToALivingOneMayHaveCrashedIt) {
+/// A proxy accepted connections for an instance that was gone and closed them
+/// at once, so that every request sent there seemed to have crashed it.
+TEST_F(InstanceTableTest, RequestToGoneInstanceIsNoCrashSuspect) {
   FleetInstance Plain = listed("plain");
   Plain.m_Service = {"desk"};
   list({listed("i"), Plain});
@@ -74,7 +74,7 @@
   m_Table.heard({"i"}, Start + 5ms);
   EXPECT_TRUE(m_Table.lost({"i"}, Start + 2ms, Start + 9ms));
   EXPECT_FALSE(m_Table.lost({"i"}, Start + 10ms, Start + 11ms));
-  // A plain service says nothing before its answer.
+  // A plain service sends nothing before its answer.
   EXPECT_TRUE(m_Table.lost({"plain"}, Start, Start + 20ms));
   EXPECT_TRUE(m_Table.lost({"plain"}, Start + 10ms, Start + 20ms));
   EXPECT_FALSE(m_Table.lost({"plain"}, Start + 21ms, Start + 22ms));
@@ -82,21 +82,21 @@
   EXPECT_TRUE(m_Table.lost({"plain"}, Start + 40ms, Start + 50ms));
 }
 
-/// A call that is answered whole crashed one instance after the other, and
-/// counted nowhere: its silence was taken to mean that it had not begun.
-TEST_F(Instances, SilenceDoesNotTellThatARequestHadNotBegun) {
+/// A call without streaming crashed one instance after the other and was not
+/// counted as harmful: as no data had come, it was assumed not to have begun.
+TEST_F(InstanceTableTest, RequestWithoutAnswerMayHaveCrashedInstance) {
   const FleetInstance One = listed("i");
   list({One});
   EXPECT_FALSE(m_Table.lost({"i"}, Start, Start + 1ms));
   m_Table.report(One.m_Address, {}, Start + 10ms);
   EXPECT_TRUE(m_Table.lost({"i"}, Start + 20ms, Start + 90ms));
-  // It is gone by now, whatever takes connections in its place.
+  // The instance is gone by now, whatever accepts connections in its place.
   EXPECT_FALSE(m_Table.lost({"i"}, Start + 100ms, Start + 101ms));
   m_Table.heard({"i"}, Start + 200ms);
   EXPECT_FALSE(m_Table.lost({"i"}, Start + 2s, Start + 2'001ms));
 }
 
-TEST_F(Instances, OneThatIsAvoidedIsTakenOnlyWhereNoOtherServes) {
+TEST_F(InstanceTableTest, AvoidedInstanceIsLastChoice) {
   list({listed("i"), listed("j")});
   m_Query.m_Avoided = {{"i"}};
   for (int I = 0; I < 20; ++I)
@@ -105,8 +105,8 @@
   EXPECT_EQ(chosen(), "i");
 }
 
-/// Nobody could see in the log why an instance got nothing.
-TEST_F(Instances, TellsWhenAFailureHasOneEjected) {
+/// The log did not show why an instance got no requests.
+TEST_F(InstanceTableTest, FailureThatCausesEjectionIsReported) {
   list({listed("i")});
   const auto Fail = [this] {
     m_Table.started({"i"}, Start);
@@ -118,7 +118,7 @@
   EXPECT_FALSE(Fail());
 }
 
-TEST_F(Instances, OneThatRestsGetsNothingUntilItsRestIsOver) {
+TEST_F(InstanceTableTest, NoRequestsDuringBackOff) {
   list({listed("i"), listed("j")});
   EXPECT_TRUE(m_Table.rest({"i"}, Start + 3s, Start));
   EXPECT_FALSE(m_Table.rest({"i"}, Start + 1s, Start)); // Not shortened.
@@ -131,7 +131,7 @@
   EXPECT_TRUE(m_Table.rest({"i"}, Start + 4s, Start + 3s));
 }
 
-TEST_F(Instances, ALeavingOneGetsNothing) {
+TEST_F(InstanceTableTest, NoRequestsToLeavingInstance) {
   FleetInstance Leaving = listed("i");
   Leaving.m_IsLeaving = true;
   list({Leaving});
@@ -140,7 +140,7 @@
   EXPECT_EQ(chosen(), "j");
 }
 
-TEST_F(Instances, OneThatIsNoLongerListedGetsNothing) {
+TEST_F(InstanceTableTest, NoRequestsToUnlistedInstance) {
   list({listed("i")});
   m_Table.started({"i"}, Start);
   list({});
@@ -150,7 +150,7 @@
   EXPECT_EQ(m_Table.size(), 0U);
 }
 
-TEST_F(Instances, OneWithoutTheModelIsPassedOver) {
+TEST_F(InstanceTableTest, NoRequestsWithoutCompleteWeights) {
   FleetInstance Empty = listed("i");
   Empty.m_Weights.clear();
   FleetInstance Part = listed("j");
@@ -160,13 +160,13 @@
   EXPECT_GT(m_Table.choose(m_Query, Start).m_RetryAfter, Duration::zero());
 }
 
-/// The first life holds weights and is full, the second has its name, its
-/// address and nothing else of it.
-class Restarted : public Instances {
+/// The first incarnation holds weights and is full; the second has the same
+/// name and address and nothing else.
+class RestartedInstance : public InstanceTableTest {
 protected:
-  Restarted() {
+  RestartedInstance() {
     m_First.m_Start = 100;
-    m_Second.m_Start = 90; // Its machine's clock stands behind now.
+    m_Second.m_Start = 90; // The instance's clock was set back.
     m_Second.m_Weights.clear();
     list({m_First});
     report(100, 4, {{"m", 1, true}});
@@ -188,7 +188,7 @@
   FleetInstance m_Second = life("i~90");
 };
 
-TEST_F(Restarted, NothingOfTheFormerLifeIsBelieved) {
+TEST_F(RestartedInstance, EarlierIncarnationStateIsDropped) {
   EXPECT_EQ(outcome(), ChoiceOutcome::Full);
   list({m_Second});
   EXPECT_EQ(outcome(), ChoiceOutcome::NoWeights);
@@ -196,7 +196,7 @@
   EXPECT_EQ(chosen(), "i~90");
 }
 
-TEST_F(Restarted, AReportOfTheFormerLifeSaysNothingOfTheNext) {
+TEST_F(RestartedInstance, EarlierIncarnationReportIsIgnored) {
   list({m_Second});
   report(90, 0, {{"m", 1, true}});
   report(100, 0, {{"m", 1, true}});
@@ -205,28 +205,28 @@
   EXPECT_EQ(chosen(), "i~90");
 }
 
-TEST_F(Restarted, AReportOfTheNextLifeEndsWhatTheListSaysOfTheFormer) {
+TEST_F(RestartedInstance, NewIncarnationReportOverridesList) {
   report(100, 0, {{"m", 1, true}});
   EXPECT_EQ(chosen(), "i~100");
   report(90, 0, {});
   EXPECT_EQ(outcome(), ChoiceOutcome::NoWeights);
 }
 
-TEST_F(Restarted, AReportWithoutAStartIsOfTheListedLife) {
+TEST_F(RestartedInstance, ReportWithoutStartCountsForListedIncarnation) {
   list({m_Second});
   report(0, 0, {{"m", 1, true}});
   EXPECT_EQ(chosen(), "i~90");
 }
 
-TEST_F(Restarted, TheSameLifeAfterACutIsKnownStill) {
+TEST_F(RestartedInstance, SameIncarnationIsKeptAfterRelisting) {
   list({});
   list({m_First});
   report(100, 0, {{"m", 1, true}});
   EXPECT_EQ(chosen(), "i~100");
 }
 
-/// The next list still named the former life, and all that it served.
-TEST_F(Restarted, ALaterListDoesNotBringTheFormerLifeBack) {
+/// The next list still named the earlier incarnation and everything it served.
+TEST_F(RestartedInstance, ReplacedIncarnationStaysUnused) {
   report(90, 0, {});
   list({m_First});
   EXPECT_EQ(outcome(), ChoiceOutcome::NoWeights);
@@ -234,8 +234,9 @@
   EXPECT_EQ(chosen(), "i~100");
 }
 
-/// Entries that had just started sent to whatever the store still listed.
-TEST_F(Restarted, OneThatIsOnlyListedIsAskedBeforeItIsBelieved) {
+/// Entries that had just started sent requests to every instance in the store's
+/// list, including ones already gone.
+TEST_F(RestartedInstance, UnconfirmedInstanceIsAskedFirst) {
   EXPECT_TRUE(m_Table.isConfirmed(m_First.m_Id, Start));
   list({m_Second});
   EXPECT_FALSE(m_Table.isConfirmed(m_Second.m_Id, Start));
@@ -248,7 +249,7 @@
   EXPECT_TRUE(m_Table.isConfirmed(m_Second.m_Id, Start));
 }
 
-TEST_F(Instances, OneThatIsOnlyListedIsBelievedOnceItsPlaceThereIsProof) {
+TEST_F(InstanceTableTest, InstanceIsConfirmedAfterListedLongEnough) {
   FleetInstance One = listed("i");
   One.m_Start = 100;
   FleetInstance Other = listed("j");
@@ -263,14 +264,14 @@
 }
 
 /// Plain services have no agents.
-TEST_F(Instances, OneOfAPlainServiceNeedsNobodyToConfirmIt) {
+TEST_F(InstanceTableTest, PlainServiceInstanceNeedsNoConfirmation) {
   FleetInstance Plain = listed("i");
   Plain.m_Service = {"desk"};
   list({Plain});
   EXPECT_TRUE(m_Table.isConfirmed({"i"}, Start));
 }
 
-TEST_F(Restarted, RequestsAtTheFormerLifeAreNamedAtOnce) {
+TEST_F(RestartedInstance, RequestsAtEarlierIncarnationAreReportedAtOnce) {
   m_Table.started(m_First.m_Id, Start);
   EXPECT_TRUE(m_Table.supersededWithRequests().empty());
   list({m_Second});
@@ -280,7 +281,7 @@
   EXPECT_TRUE(m_Table.supersededWithRequests().empty());
 }
 
-TEST_F(Instances, AnOlderVersionServesLongerOverASoundLink) {
+TEST_F(InstanceTableTest, OlderVersionServesLongerOverSoundLink) {
   m_Table.setVersionBound(8s);
   list({listed("old", "a", 1)});
   m_Table.setWeights({{"m", 2}}, Start);
@@ -288,26 +289,27 @@
     m_Table.report(listed("old").m_Address,
                    {0, 0, true, HasSoundLink, {{"m", 1, true}}}, Now);
   };
-  // A pass of 43 ms and the spare before the bound.
+  // One pass of 43 ms and the margin before the bound.
   const TimePoint Between = Start + 7'300ms;
   Report(true, Between);
   EXPECT_EQ(chosen(Between), "old");
   Report(false, Between);
   EXPECT_EQ(outcome(Between), ChoiceOutcome::NoWeights);
-  // What was told long ago says nothing.
+  // An old report does not count.
   Report(true, Between);
   EXPECT_EQ(outcome(Between + 900ms), ChoiceOutcome::NoWeights);
   Report(true, Start + 7'360ms);
   EXPECT_EQ(outcome(Start + 7'360ms), ChoiceOutcome::NoWeights);
 }
 
-/// A stream went on at an idle instance of another data centre 1.7 s before the
-/// bound, by a report that was 2 ms old, over a link between the regions that
-/// was full of weights: it was there 1.28 s later, and the close that followed
-/// it 1.1 s after it was sent came after it had begun.
-///   24.295 sent (load 1), 25.404 taken back, 25.571 there, 27.181 begins;
-///   the bound was 26.02
-TEST_F(Instances, AnOlderVersionFarAwayServesAsOverALinkThatIsNotSound) {
+/// A stream moved to an idle instance of another data centre 1.7 s before the
+/// bound, on a report that was 2 ms old. The link between the regions was full
+/// of weights: the request arrived 1.28 s later, and the cancellation, sent 1.1
+/// s after the request, arrived after it had begun.
+///
+/// 24.295 sent (load 1), 25.404 cancelled, 25.571 arrived, 27.181 begun; the
+/// bound was 26.02
+TEST_F(InstanceTableTest, RemoteOlderVersionGetsWiderMargin) {
   m_Table.setVersionBound(8s);
   list({listed("far", "b", 1), listed("near", "a", 1)});
   m_Table.setWeights({{"m", 2}}, Start);
@@ -321,7 +323,7 @@
   EXPECT_EQ(chosen(Start + 6'300ms), "near");
 }
 
-TEST_F(Instances, SaysByWhenWaitingRequestsMustHaveBegun) {
+TEST_F(InstanceTableTest, WaitingRequestsBeginBeforeVersionBound) {
   m_Table.setVersionBound(8s);
   list({listed("old", "a", 1)});
   EXPECT_FALSE(m_Table.beginBy({"old"}, "m"));
@@ -335,14 +337,14 @@
     Report.m_Loading = Version;
     m_Table.report(listed("old").m_Address, Report, Start);
   };
-  // What waits for a load begins on what is loaded.
+  // Requests that wait for a load begin on the loaded version.
   Load(2);
   EXPECT_EQ(m_Table.beginBy({"old"}, "m"), Start + 12s);
   Load(3);
   EXPECT_FALSE(m_Table.beginBy({"old"}, "m"));
 }
 
-TEST_F(Instances, AnOlderVersionServesShorterWhereRequestsWait) {
+TEST_F(InstanceTableTest, OlderVersionServesShorterWhereRequestsQueue) {
   m_Table.setVersionBound(8s);
   list({listed("old", "a", 1)});
   m_Table.setWeights({{"m", 2}}, Start);
@@ -351,7 +353,7 @@
     m_Table.report(listed("old").m_Address,
                    {Running, 0, true, true, {{"m", 1, true}}}, Now);
   };
-  // Behind two requests that wait for ends which come 283 ms apart.
+  // Behind two waiting requests; slots are freed every 283 ms.
   Report(4, Start + 7s);
   EXPECT_EQ(chosen(Start + 7s), "old");
   Report(4, Start + 7'100ms);
@@ -360,21 +362,21 @@
   EXPECT_EQ(chosen(Start + 7'100ms), "old");
 }
 
-TEST_F(Instances, OneThatSwapsSoonTakesWhatEndsBefore) {
+TEST_F(InstanceTableTest, NoRequestsThatOutlastSwap) {
   const FleetInstance Soon = listed("soon");
   list({Soon, listed("other")});
   const auto Report = [&](Duration SwapIn) {
     m_Table.report(Soon.m_Address, {0, 0, true, true, Soon.m_Weights, SwapIn},
                    Start);
   };
-  // Reading 33 ms, then 100 tokens of 11.3 ms: 1,166 ms.
+  // Prompt 33 ms, then 100 tokens of 11.3 ms: 1,166 ms.
   m_Query.m_Size = {1'000, 100};
   m_Query.m_Tried = {};
   Report(900ms);
   for (int I = 0; I < 20; ++I)
     EXPECT_EQ(chosen(), "other");
   m_Query.m_Tried = {{"other"}};
-  EXPECT_EQ(chosen(), "soon"); // There is no other.
+  EXPECT_EQ(chosen(), "soon"); // The only one left.
   m_Query.m_Tried = {};
   m_Query.m_Size = {1'000, 50};
   int ToSoon = 0;
@@ -383,7 +385,7 @@
   EXPECT_GT(ToSoon, 20);
 }
 
-TEST_F(Instances, AVersionCanBeAskedFor) {
+TEST_F(InstanceTableTest, RequestedVersionIsServed) {
   list({listed("old", "a", 1), listed("new", "a", 2)});
   m_Query.m_Version = 1;
   for (int I = 0; I < 20; ++I)
@@ -394,7 +396,7 @@
   EXPECT_EQ(m_Table.versionAt({"new"}, "other"), 0U);
 }
 
-TEST_F(Instances, TellsWhichOnesWaitToSwap) {
+TEST_F(InstanceTableTest, InstancesWaitingToSwapAreReported) {
   const FleetInstance One = listed("i");
   list({One});
   m_Table.started({"i"}, Start);
@@ -408,9 +410,9 @@
   EXPECT_TRUE(m_Table.swappingFor(200ms, Start + 1'400ms).empty());
 }
 
-/// The more instances there are, the sooner a place is free at one of them; who
-/// comes back after half of an objective of 300 ms is late.
-TEST_F(Instances, WhoIsRefusedComesBackWhileItCanStillBeInTime) {
+/// The more instances there are, the sooner a slot is free at one of them. A
+/// retry after half of an objective of 300 ms is too late.
+TEST_F(InstanceTableTest, RetryDelayLeavesTimeForObjective) {
   std::vector<FleetInstance> List;
   List.reserve(12);
   for (int I = 0; I < 12; ++I)
@@ -424,7 +426,7 @@
   EXPECT_GE(Choice.m_RetryAfter, 20ms);
 }
 
-TEST_F(Instances, FirstTokensThatComeLateMakeLaterQueriesStricter) {
+TEST_F(InstanceTableTest, LateFirstTokensTightenPlannedShare) {
   const FleetInstance One = listed("i");
   list({One});
   m_Table.report(One.m_Address, {0, 0, true, true, One.m_Weights}, Start);
@@ -438,24 +440,26 @@
   EXPECT_LT(Planned(), 200ms);
 }
 
-TEST_F(Instances, AnAgentThatDoesNotAnswerIsPassedOverForAWhile) {
+TEST_F(InstanceTableTest, UnansweringAgentIsPassedOver) {
   const FleetInstance Mute = listed("mute");
   const FleetInstance Heard = listed("heard");
   list({Mute, Heard});
-  // One that is only listed is asked for as long as that is no proof.
+  // An instance that is only listed is asked until it has been listed for long
+  // enough.
   EXPECT_TRUE(m_Table.placeQuery({"mute"}, m_Query, Start));
   EXPECT_FALSE(m_Table.placeQuery({"mute"}, m_Query, Start + 5s));
   for (const FleetInstance &Each : {Mute, Heard})
     m_Table.report(Each.m_Address, {4, 0, true, false, Each.m_Weights}, Start);
   EXPECT_TRUE(m_Table.placeQuery({"mute"}, m_Query, Start));
-  // What its agent is asked may go beyond what is believed here.
+  // A request whose agent is asked first may exceed the load limit that is
+  // estimated here.
   EXPECT_EQ(outcome(), ChoiceOutcome::Full);
   m_Query.m_AskedBeyond = 2;
   m_Table.unanswered({"mute"}, Start);
   for (int I = 0; I < 20; ++I)
     EXPECT_EQ(chosen(Start + 50ms), "heard");
   m_Query.m_Full.insert({"heard"});
-  EXPECT_EQ(chosen(Start + 50ms), "mute"); // There is no other.
+  EXPECT_EQ(chosen(Start + 50ms), "mute"); // The only one left.
   m_Query.m_Full.clear();
   int ToMute = 0;
   for (int I = 0; I < 100; ++I)
@@ -463,7 +467,7 @@
   EXPECT_GT(ToMute, 20);
 }
 
-TEST(EngineCapacity, HoldsMoreWhereTheObjectiveLeavesTime) {
+TEST(EngineCapacity, LongerObjectiveAllowsMoreQueuedRequests) {
   const EngineProfile Profile{.m_Slots = 16,
                               .m_StepMs = 7.4,
                               .m_StepMsPerWriter = 0.0387,
--- a/test/place-ledger-test.cc
+++ b/test/place-ledger-test.cc
@@ -13,8 +13,8 @@
 /// A stream of 1,000 prompt tokens at an engine with passes of 43 ms.
 constexpr PlaceQuery Usual{16, 0, 85ms, 32ms, 43ms, 255ms};
 
-/// An engine as the pages of its maker describe it: a pass reads all prompts
-/// that came during the one before, and gives their first tokens at its end.
+/// An engine as its vendor documents it: a pass reads all prompts that arrived
+/// during the previous one, and gives their first tokens at its end.
 class PassEngine {
 public:
   void send(TimePoint Now) {
@@ -55,11 +55,11 @@
   return Late;
 }
 
-/// Nine entries see one instance that has just loaded its weights and send it
-/// a prompt each within a few milliseconds, again and again.
-TEST(PlaceLedger, ABurstAtAFreshInstanceComesInTime) {
-  PassEngine Asked;
-  PassEngine Unasked;
+/// Nine entries see one instance that has just loaded its weights, and
+/// repeatedly send it one prompt each within a few milliseconds.
+TEST(PlaceLedger, BurstAtFreshInstanceMeetsObjective) {
+  PassEngine WithLedger;
+  PassEngine WithoutLedger;
   PlaceLedger Ledger;
   int Granted = 0;
   for (int Ms = 0; Ms < 800; Ms += 4) {
@@ -68,46 +68,46 @@
       Ledger.reported(static_cast<std::uint32_t>(Granted), Now);
     if (Granted < 16 && Ledger.grant(Usual, Now)) {
       ++Granted;
-      Asked.send(Now);
+      WithLedger.send(Now);
     }
     if (Ms < 16 * 4)
-      Unasked.send(Now);
+      WithoutLedger.send(Now);
   }
-  Asked.runUntil(Start + 5s);
-  Unasked.runUntil(Start + 5s);
+  WithLedger.runUntil(Start + 5s);
+  WithoutLedger.runUntil(Start + 5s);
   EXPECT_EQ(Granted, 16);
-  EXPECT_EQ(lateOf(Asked), 0);
-  // Sixteen prompts at once, as entries send them that do not ask.
-  EXPECT_GE(lateOf(Unasked), 10);
+  EXPECT_EQ(lateOf(WithLedger), 0);
+  // Sixteen prompts at once, as sent by entries that do not ask the agent.
+  EXPECT_GE(lateOf(WithoutLedger), 10);
 }
 
-TEST(PlaceLedger, CountsWhatAReportCannotShowYet) {
+TEST(PlaceLedger, CountsGrantsNotYetReported) {
   PlaceLedger Ledger;
   Ledger.reported(14, Start);
   EXPECT_TRUE(Ledger.grant(Usual, Start + 40ms));
   EXPECT_EQ(Ledger.held(), 15U);
-  // Read when the request was still on its way.
+  // Reported while the request was still in transit.
   Ledger.reported(14, Start + 45ms);
   EXPECT_EQ(Ledger.held(), 15U);
   Ledger.reported(15, Start + 95ms);
   EXPECT_EQ(Ledger.held(), 15U);
 }
 
-TEST(PlaceLedger, AtAFullInstanceThoseWaitWhoseObjectiveLeavesTime) {
+TEST(PlaceLedger, FullInstanceQueuesWithinObjective) {
   PlaceLedger Ledger;
   Ledger.reported(16, Start);
-  PlaceQuery Patient = Usual;
-  Patient.m_FirstWithin = 400ms;
-  PlaceQuery Hasty = Usual;
-  Hasty.m_FirstWithin = 150ms;
-  EXPECT_FALSE(Ledger.grant(Hasty, Start));
+  PlaceQuery Relaxed = Usual;
+  Relaxed.m_FirstWithin = 400ms;
+  PlaceQuery Urgent = Usual;
+  Urgent.m_FirstWithin = 150ms;
+  EXPECT_FALSE(Ledger.grant(Urgent, Start));
   for (int I = 0; I < 3; ++I)
-    EXPECT_TRUE(Ledger.grant(Patient, Start));
-  // Four ends away, and the prompts of the three before it.
-  EXPECT_FALSE(Ledger.grant(Patient, Start));
+    EXPECT_TRUE(Ledger.grant(Relaxed, Start));
+  // The fourth freed slot, after the prompts of the three before it.
+  EXPECT_FALSE(Ledger.grant(Relaxed, Start));
 }
 
-TEST(PlaceLedger, NoObjectiveFillsTheQueue) {
+TEST(PlaceLedger, LongObjectiveDoesNotFillQueue) {
   PlaceLedger Ledger;
   Ledger.reported(16, Start);
   PlaceQuery Any = Usual;
@@ -118,20 +118,20 @@
   EXPECT_EQ(Granted, 4); // A quarter of the slots.
 }
 
-TEST(PlaceLedger, ALaterPromptDoesNotMakeAnEarlierOneLate) {
+TEST(PlaceLedger, LaterPromptDoesNotDelayEarlierOne) {
   PlaceLedger Ledger;
   Ledger.reported(4, Start);
-  PlaceQuery Hasty = Usual;
-  Hasty.m_FirstWithin = 130ms;
-  PlaceQuery Patient = Usual;
-  Patient.m_FirstWithin = 10s;
-  ASSERT_TRUE(Ledger.grant(Hasty, Start + 100ms));
-  EXPECT_FALSE(Ledger.grant(Patient, Start + 100ms));
-  // The next pass is another one.
-  EXPECT_TRUE(Ledger.grant(Patient, Start + 200ms));
+  PlaceQuery Urgent = Usual;
+  Urgent.m_FirstWithin = 130ms;
+  PlaceQuery Relaxed = Usual;
+  Relaxed.m_FirstWithin = 10s;
+  ASSERT_TRUE(Ledger.grant(Urgent, Start + 100ms));
+  EXPECT_FALSE(Ledger.grant(Relaxed, Start + 100ms));
+  // The next pass has a limit of its own.
+  EXPECT_TRUE(Ledger.grant(Relaxed, Start + 200ms));
 }
 
-TEST(PlaceLedger, AReservedPlaceStaysFree) {
+TEST(PlaceLedger, ReservedSlotStaysFree) {
   PlaceLedger Ledger;
   Ledger.reported(14, Start);
   PlaceQuery Modest = Usual;
@@ -142,25 +142,26 @@
   EXPECT_TRUE(Ledger.grant(Modest, Start));
 }
 
-/// An instance is ordered to load other weights at a time that its agent knows.
-/// Requests that were granted places just before waited there until the order
-/// came, and were refused: 22.022 granted, 22.159 ordered and refused.
-TEST(PlaceLedger, WhatWouldBeginAfterTheInstanceClosesIsNotGranted) {
+/// An agent knows when its instance will be ordered to load other weights.
+/// Requests that were granted slots just before waited at the instance until
+/// the order came and were refused: granted at 22.022, ordered and refused at
+/// 22.159.
+TEST(PlaceLedger, NoGrantAfterInstanceCloses) {
   PlaceLedger Ledger;
   Ledger.reported(4, Start);
-  PlaceQuery Patient = Usual;
-  Patient.m_FirstWithin = 400ms;
+  PlaceQuery Relaxed = Usual;
+  Relaxed.m_FirstWithin = 400ms;
   const TimePoint Now = Start + 100ms;
-  EXPECT_FALSE(Ledger.grant(Patient, Now, Now));
-  EXPECT_FALSE(Ledger.grant(Patient, Now, Now + 20ms));
-  EXPECT_TRUE(Ledger.grant(Patient, Now, Now + 400ms));
+  EXPECT_FALSE(Ledger.grant(Relaxed, Now, Now));
+  EXPECT_FALSE(Ledger.grant(Relaxed, Now, Now + 20ms));
+  EXPECT_TRUE(Ledger.grant(Relaxed, Now, Now + 400ms));
   EXPECT_EQ(Ledger.held(), 5U);
 }
 
-/// An agent refused places at an idle instance until it was started again. It
-/// had granted one to a request that has no prompt to read, and kept the time
-/// by which that one was to begin for all that came after it.
-TEST(PlaceLedger, APromiseWithoutAPromptDoesNotBindLaterOnes) {
+/// An agent refused slots at an idle instance until it was restarted. It had
+/// granted one to a request without a prompt, and applied that request's
+/// deadline to all later ones.
+TEST(PlaceLedger, GrantWithoutPromptDoesNotLimitLaterOnes) {
   PlaceLedger Ledger;
   Ledger.reported(0, Start);
   PlaceQuery Bare = Usual;
--- a/test/shared-reading-test.cc
+++ b/test/shared-reading-test.cc
@@ -24,12 +24,13 @@
   EXPECT_LE(readingOf({7, 3}).due(), Start);
 }
 
-TEST(SharedReading, TheFirstReadsAndTheOthersTakeOverInTurn) {
+TEST(SharedReading, FirstReadsAndOthersTakeOverByRank) {
   struct Row {
     ReadingTurn m_Turn;
     Duration m_Due;
   };
-  // One in each data centre first: reads of several cross different links.
+  // One process in each data centre reads first: reads from several data
+  // centres cross different links.
   for (const Row &Each :
        {Row{{0, 0}, 500ms}, Row{{1, 0}, 840ms}, Row{{1, 1}, 880ms},
         Row{{12, 0}, 840ms}, Row{{13, 1}, 880ms}, Row{{19, 7}, 1'120ms},
@@ -41,19 +42,20 @@
   }
 }
 
-TEST(SharedReading, OlderNewsPutsNothingOff) {
+TEST(SharedReading, OlderUpdateDoesNotDelayRead) {
   SharedReading Under = readingOf({1, 1});
   Under.confirm(Start);
   Under.confirm(Start - 300ms);
   EXPECT_EQ(Under.asOf(), Start);
 }
 
-TEST(SharedReading, AChangeThatOthersKnowIsReadAtOnceOrAfterThoseBefore) {
+TEST(SharedReading, AnnouncedChangeIsReadByRank) {
   SharedReading Under = readingOf({5, 3});
   Under.confirm(Start);
   Under.noteBehind(Start + 50ms, Under.turnWait());
   EXPECT_EQ(Under.due(), Start + 50ms + 120ms);
-  Under.noteBehind(Start + 60ms, 0ms); // It is held nearby now.
+  Under.noteBehind(Start + 60ms,
+                   0ms); // A process of this data centre holds it now.
   EXPECT_EQ(Under.due(), Start + 60ms);
   Under.noteBehind(Start + 70ms, Under.turnWait());
   EXPECT_EQ(Under.due(), Start + 60ms);
@@ -63,7 +65,7 @@
   EXPECT_EQ(Under.behindFor(Start + 200ms), 0ms);
 }
 
-TEST(SharedReading, WhatIsKnownFromAnOlderLookEndsBeingBehindToo) {
+TEST(SharedReading, CatchesUpFromOlderRead) {
   SharedReading Under = readingOf({1, 0});
   Under.confirm(Start);
   Under.noteBehind(Start, 0ms);
@@ -74,8 +76,7 @@
   EXPECT_EQ(Under.asOf(), Start);
 }
 
-TEST(DeclarationBelief,
-     DeniesNothingWhileANewerOneIsKnownAndThenServesNothing) {
+TEST(DeclarationFreshness, NewerVersionStopsDenialThenService) {
   constexpr Duration Bound = 2s;
   SharedReading Under = readingOf({1, 0});
   Under.confirm(Start);
@@ -93,7 +94,7 @@
             (StoreBelief{0ms, false, false}));
 }
 
-TEST(SharedReading, IsStaleWhenNoTurnBroughtAnything) {
+TEST(SharedReading, IsStaleAfterAllRanksFailed) {
   SharedReading Under = readingOf({3, 3});
   EXPECT_FALSE(Under.isStale(Start));
   Under.confirm(Start);
@@ -117,7 +118,7 @@
   return Out;
 }
 
-TEST(InstanceList, AChangeLeadsFromOneListToTheNext) {
+TEST(InstanceList, ChangeLeadsToNextList) {
   const InstanceList Before = listOf({instanceOf("i1"), instanceOf("i2")});
   const InstanceList After = listOf({instanceOf("i2", true), instanceOf("i3")});
   const InstanceListChange Change = changeBetween(Before, After);
@@ -126,17 +127,17 @@
   EXPECT_EQ(applyChange(Before, Change), After);
 }
 
-TEST(InstanceList, AChangeOfAnotherListIsRefused) {
+TEST(InstanceList, ChangeOfAnotherListIsRejected) {
   const InstanceList Before = listOf({instanceOf("i1")});
   const InstanceListChange Change =
       changeBetween(Before, listOf({instanceOf("i1"), instanceOf("i2")}));
   EXPECT_FALSE(applyChange(listOf({instanceOf("i9")}), Change));
-  InstanceListChange Cut = Change; // What did not fit is not told.
+  InstanceListChange Cut = Change; // Entries that did not fit are left out.
   Cut.m_Put.clear();
   EXPECT_FALSE(applyChange(Before, Cut));
 }
 
-TEST(InstanceList, EveryFieldCounts) {
+TEST(InstanceList, FingerprintCoversEveryField) {
   const std::uint64_t Plain = fingerprintOf(listOf({instanceOf("i1")}));
   EXPECT_EQ(Plain, fingerprintOf(listOf({instanceOf("i1")})));
   EXPECT_NE(Plain, fingerprintOf(listOf({instanceOf("i1", true)})));
@@ -152,7 +153,7 @@
   EXPECT_NE(Plain, fingerprintOf({}));
 }
 
-TEST(LapsedInstances, ComeBackOrAreGoneAfterTwoSeconds) {
+TEST(LapsedInstances, AreGoneAfterTwoSecondsUnlessListed) {
   const InstanceList Known = listOf({instanceOf("i1"), instanceOf("i2")});
   LapsedInstances Under;
   Under.storeReturned(Start);
@@ -162,7 +163,7 @@
   EXPECT_EQ(Under.complete(Back, Known, Start + 2s), Back);
 }
 
-TEST(LapsedInstances, OneThatWasListedSinceTheReturnHasGoneWhenItIsMissing) {
+TEST(LapsedInstances, MissingAfterBeingListedAgainIsGone) {
   const InstanceList Known = listOf({instanceOf("i1"), instanceOf("i2")});
   LapsedInstances Under;
   Under.storeReturned(Start);
@@ -171,7 +172,7 @@
   EXPECT_EQ(Under.complete(Left, Known, Start + 100ms), Left);
 }
 
-TEST(LapsedInstances, OneWhoseAddressAnotherLifeHasIsGone) {
+TEST(LapsedInstances, GoneWhenAddressHasAnotherIncarnation) {
   const InstanceList Known = listOf({instanceOf("i1~1")});
   LapsedInstances Under;
   Under.storeReturned(Start);
@@ -179,7 +180,7 @@
   EXPECT_EQ(Under.complete(Next, Known, Start), Next);
 }
 
-TEST(LapsedInstances, WithoutAnOutageWhatIsMissingHasGone) {
+TEST(LapsedInstances, MissingWithoutOutageIsGone) {
   const InstanceList Known = listOf({instanceOf("i1")});
   LapsedInstances Under;
   EXPECT_TRUE(Under.complete({}, Known, Start).empty());
--- a/test/store-belief-test.cc
+++ b/test/store-belief-test.cc
@@ -1,5 +1,5 @@
-// What may still be done by what is known of the store, at every age of it, and
-// what knowledge from other processes is worth.
+// How far the cached view of the store may be used at every age, and how much
+// updates from other processes count.
 #include "deckpitch/store-belief.h"
 
 #include <gtest/gtest.h>
@@ -20,29 +20,29 @@
   return Out;
 }
 
-/// The sum of delays that the design allowed was about the bound itself, and
-/// nothing in an entry said that its list was too old to send something new by:
-/// requests reached instances 33, 64 and 154 ms after the end of their time.
-TEST(StoreBelief, WhoIsBehindSendsNothingThatWouldArriveAfterTheBound) {
+/// The permitted delays added up to about the bound itself, and an entry did
+/// not check whether its list was too old to send a new request: requests
+/// reached instances 33, 64 and 154 ms after the end of their time.
+TEST(StoreBelief, NothingIsSentThatWouldArriveAfterBound) {
   for (Duration Told = 0ms; Told < Bound; Told += 50ms) {
     SharedReading Under = readAt(Start);
     Under.noteBehind(Start + Told, 0ms);
     for (Duration Age = Told; Age < 2 * Bound; Age += 50ms) {
       const StoreBelief Belief = beliefOf(Under, Bound, Start + Age);
       EXPECT_EQ(Belief.m_Age, Age);
-      const bool WouldBeLate = Age + SendSpare >= Bound;
+      const bool WouldBeLate = Age + SendMargin >= Bound;
       EXPECT_TRUE(Belief.m_IsOutdated || !WouldBeLate)
           << Told.count() << " " << Age.count();
-      const bool IsEarly = Age + SendSpare < Bound && Age - Told < Bound / 2;
+      const bool IsEarly = Age + SendMargin < Bound && Age - Told < Bound / 2;
       EXPECT_FALSE(Belief.m_IsOutdated && IsEarly)
           << Told.count() << " " << Age.count();
     }
   }
 }
 
-/// Where nobody is known to have more, the store is away for all, and refusing
-/// would serve nobody.
-TEST(StoreBelief, WhatWasKnownLastServesOnWhileNobodyKnowsMore) {
+/// If no process is known to have a newer version, the store is unavailable to
+/// all, and refusing requests would help nobody.
+TEST(StoreBelief, LastViewServesWhileNothingNewerIsKnown) {
   const SharedReading Under = readAt(Start);
   for (const Duration Age : {1s, 3s, 60s}) {
     const StoreBelief Belief = beliefOf(Under, Bound, Start + Age);
@@ -51,20 +51,22 @@
   }
 }
 
-/// An instance was kept for 4.2 s after it had left, by entries that the store
-/// had turned away alone, while others read it.
-TEST(StoreBelief, OnlyAnOutageForAllShowsAReturn) {
-  const TimePoint Late = Start + 1'500ms; // Past the time of all turns.
+/// Entries that alone had lost the store, while others read it, kept an
+/// instance for 4.2 s after it had left.
+TEST(StoreBelief, OwnOutageIsNoStoreReturn) {
+  const TimePoint Late =
+      Start + 1'500ms; // Later than every process's turn to read.
   SharedReading Heard = readAt(Start);
   EXPECT_TRUE(showsReturn(Heard, true, Late));
-  // Paused, and not turned away: it has not even tried.
+  // The process was paused and has not even tried to read.
   EXPECT_FALSE(showsReturn(Heard, false, Late));
   EXPECT_FALSE(showsReturn(Heard, true, Start + 1s));
   Heard.noteBehind(Start + 900ms, 0ms);
   EXPECT_FALSE(showsReturn(Heard, true, Late));
 }
 
-/// A loop that takes its turns each 100 ms, then stands still so long.
+/// Returns the detector of a loop that iterates every 100 ms and is then paused
+/// for Length.
 StandStill pausedAt(TimePoint From, Duration Length) {
   StandStill Out;
   for (Duration At = -1s; At <= 0ms; At += 100ms)
@@ -73,9 +75,9 @@
   return Out;
 }
 
-/// Neither a loaded machine nor a start is a pause, and the first thing that
-/// runs after one notices it, whatever it is.
-TEST(StandStill, IsAGapThatNoBusyLoopHas) {
+/// Neither high load nor the start of the process counts as a pause, and
+/// whatever runs first after a pause detects it.
+TEST(StandStill, BusyLoopIsNoPause) {
   StandStill Under;
   TimePoint Now = Start;
   EXPECT_FALSE(Under.running(Now));
@@ -88,18 +90,18 @@
   EXPECT_FALSE(Under.hasEndedSince(Now));
 }
 
-/// An entry that stood still for longer than its list may be old sent requests
-/// by it when it ran again, until the first hello: it had heard nothing, and
-/// took that for an outage of the store for all. Instances that had left
-/// meanwhile would have been sent to, and revoked keys been served.
-TEST(StoreBelief, AfterAPauseNothingIsDoneByWhatWasKnownBefore) {
+/// An entry that was paused for longer than its list may be used sent requests
+/// by it from its resumption until the first hello: it had received nothing and
+/// took that for an outage of the store for all. Requests would have gone to
+/// instances that had left, and revoked keys would have been served.
+TEST(StoreBelief, ViewIsNotUsedAfterPause) {
   for (const Duration Length : {1s, 2s, 3s, 60s}) {
     const SharedReading Under = readAt(Start);
     const StandStill Still = pausedAt(Start, Length);
-    for (Duration Late = 0ms; Late < LongestUnsure; Late += 100ms) {
+    for (Duration Late = 0ms; Late < ConfirmationTimeout; Late += 100ms) {
       const Duration Age = Length + Late;
       const StoreBelief Belief = beliefOf(Under, Bound, Start + Age, Still);
-      const bool WouldBeLate = Age + SendSpare >= Bound;
+      const bool WouldBeLate = Age + SendMargin >= Bound;
       EXPECT_EQ(Belief.m_IsOutdated, WouldBeLate) << Age / 1ms;
       EXPECT_EQ(Belief.m_IsUnsure, WouldBeLate) << Age / 1ms;
       EXPECT_EQ(Belief.m_MayBeOld, Age >= Bound) << Age / 1ms;
@@ -107,51 +109,54 @@
   }
 }
 
-/// One that hears nobody, or where the store is away for all, serves on.
-TEST(StoreBelief, APausedOneThatLearnsNothingServesOnSoon) {
+/// An entry that receives nothing, or for which the store is unavailable to
+/// all, continues to serve.
+TEST(StoreBelief, ServesAgainWhenNothingArrivesAfterPause) {
   const SharedReading Under = readAt(Start);
   const StandStill Still = pausedAt(Start, 5s);
   const auto IsOutdatedAt = [&](Duration Age) {
     return beliefOf(Under, Bound, Start + Age, Still).m_IsOutdated;
   };
-  EXPECT_TRUE(IsOutdatedAt(5s + LongestUnsure - 1ms));
-  EXPECT_FALSE(IsOutdatedAt(5s + LongestUnsure));
+  EXPECT_TRUE(IsOutdatedAt(5s + ConfirmationTimeout - 1ms));
+  EXPECT_FALSE(IsOutdatedAt(5s + ConfirmationTimeout));
 }
 
-TEST(StoreBelief, WhatWasLearntAfterAPauseEndsIt) {
+TEST(StoreBelief, UpdateAfterPauseConfirmsView) {
   const StandStill Still = pausedAt(Start, 5s);
   const TimePoint Now = Start + 5'100ms;
   SharedReading Read = readAt(Start);
   Read.confirm(Now - 50ms);
   EXPECT_FALSE(beliefOf(Read, Bound, Now, Still).m_IsOutdated);
-  // The store is away for all: the others know no more.
+  // The store is unavailable to all, and the other processes know nothing
+  // newer.
   SharedReading Told = readAt(Start);
   Told.noteTold(Now - 50ms);
   EXPECT_FALSE(beliefOf(Told, Bound, Now, Still).m_IsOutdated);
-  // What lay in the socket counts as of when it was sent.
+  // Datagrams that waited in the socket count from the time they were sent.
   SharedReading Early = readAt(Start);
   Early.confirm(Start + 100ms);
   Early.noteTold(Start + 1s);
   EXPECT_TRUE(beliefOf(Early, Bound, Now, Still).m_IsOutdated);
-  // The store was away for all then, and what came since is not due yet.
+  // The store was unavailable to all then, and a change made since is not due
+  // yet.
   Early.noteTold(Start + 4s);
   EXPECT_FALSE(beliefOf(Early, Bound, Now, Still).m_IsOutdated);
 }
 
-/// What the store takes after the start of a pause is due a whole bound later:
-/// a loop that stands still for less changes nothing in an outage for all.
-TEST(StoreBelief, AShortPauseInAnOutageServesOn) {
+/// A change that the store accepts after the start of a pause is due one whole
+/// bound later: a shorter pause changes nothing during an outage for all.
+TEST(StoreBelief, ShortPauseDuringOutageServesOn) {
   const SharedReading Under = readAt(Start);
   for (const Duration Length : {500ms, 1'000ms, 2'000ms, 2'600ms, 5'000ms}) {
     const TimePoint Now = Start + 20s + Length;
     const StandStill Still = pausedAt(Start + 20s, Length);
     EXPECT_EQ(beliefOf(Under, Bound, Now, Still).m_IsOutdated,
-              Length + SendSpare >= Bound)
+              Length + SendMargin >= Bound)
         << Length / 1ms;
   }
 }
 
-TEST(StoreBelief, APauseAfterAWordHasItsWholeTime) {
+TEST(StoreBelief, PauseAfterUpdateGetsWholeTimeout) {
   StandStill Still = pausedAt(Start, 5s);
   SharedReading Under = readAt(Start);
   Under.confirm(Start + 5'100ms);
@@ -161,18 +166,18 @@
   const auto IsOutdatedAt = [&](Duration After) {
     return beliefOf(Under, Bound, Again + After, Still).m_IsOutdated;
   };
-  EXPECT_TRUE(IsOutdatedAt(5s + LongestUnsure - 1ms));
-  EXPECT_FALSE(IsOutdatedAt(5s + LongestUnsure));
+  EXPECT_TRUE(IsOutdatedAt(5s + ConfirmationTimeout - 1ms));
+  EXPECT_FALSE(IsOutdatedAt(5s + ConfirmationTimeout));
 }
 
-/// A machine on which the loop stands still again and again: what was not sure
-/// before a pause is not sure by it, and listening for LongestUnsure in all
-/// ends that.
-TEST(StoreBelief, PausesInARowNeitherHideNorExtendEachOther) {
+/// The event loop is paused again and again: a view that was unconfirmed before
+/// a pause is not confirmed by it, and listening for ConfirmationTimeout in
+/// total ends that state.
+TEST(StoreBelief, SuccessivePausesShareOneTimeout) {
   const SharedReading Under = readAt(Start);
   StandStill Still = pausedAt(Start, 5s);
   TimePoint Now = Start + 5s;
-  for (Duration Listened{}; Listened < LongestUnsure; Listened += 100ms) {
+  for (Duration Listened{}; Listened < ConfirmationTimeout; Listened += 100ms) {
     EXPECT_TRUE(beliefOf(Under, Bound, Now, Still).m_IsOutdated);
     Still.running(Now += 100ms);
     Still.running(Now += 600ms);
@@ -181,8 +186,8 @@
   EXPECT_FALSE(beliefOf(Under, Bound, Now, Still).m_IsOutdated);
 }
 
-/// A loop that is late while the store is away for all.
-TEST(StoreBelief, ALateLoopInAnOutageServesOn) {
+/// The event loop is late while the store is unavailable to all.
+TEST(StoreBelief, LateLoopDuringOutageServesOn) {
   const SharedReading Under = readAt(Start);
   StandStill Still;
   for (TimePoint Now = Start; Now < Start + 20s; Now += 400ms) {
@@ -191,18 +196,18 @@
   }
 }
 
-TEST(AsOfTold, CountsTheSendersAgeAndTheWay) {
+TEST(AsOfTold, IncludesSenderAgeAndDelay) {
   const ToldReading Own{300ms, 40ms, false, false};
   EXPECT_EQ(asOfTold(Own, Start), Start - 340ms);
   const ToldReading NearRelayed{300ms, 40ms, true, true};
-  EXPECT_EQ(asOfTold(NearRelayed, Start), Start - 340ms - RelayAllowance);
+  EXPECT_EQ(asOfTold(NearRelayed, Start), Start - 340ms - RelayMargin);
   const ToldReading FarRelayed{300ms, 40ms, false, true};
   EXPECT_FALSE(asOfTold(FarRelayed, Start));
 }
 
-/// Neither reads the store, each tells the other each 10 ms what it knows, and
-/// the way, which neither sees, takes 3 ms.
-TEST(AsOfTold, TwoWhoTellEachOtherMakeNothingFresher) {
+/// Neither process reads the store. Each sends the other every 10 ms what it
+/// knows; the network delay of 3 ms is visible to neither.
+TEST(AsOfTold, MutualReportsDoNotMakeViewFresher) {
   constexpr Duration Way = 3ms;
   SharedReading One = readAt(Start);
   SharedReading Other = readAt(Start - 200ms);
