--- a/include/deckpitch/instance-table.h
+++ b/include/deckpitch/instance-table.h
@@ -24,7 +24,7 @@
   std::uint32_t m_Running = 0;
   std::uint32_t m_Waiting = 0;
   bool m_TakesRequests = true; ///< false while it replaces its weights
-  bool m_HasSoundLink = false; ///< its link is sound, see versionSpare()
+  bool m_HasSoundLink = false; ///< see versionSpare()
   std::vector<HeldWeights> m_Weights;
   /// Time until it will load other weights, if these are ready.
   std::optional<Duration> m_SwapIn;
@@ -76,9 +76,8 @@
   std::string m_Address;
   double m_Load = 0;  ///< estimated requests at the chosen instance
   double m_Limit = 0; ///< requests that it may hold
-  Duration
-      /// Age of the report that m_Load is based on; 0 without a report.
-      m_ReportAge{};
+  /// Age of the report that m_Load is based on; 0 without a report.
+  Duration m_ReportAge{};
   Duration m_RetryAfter{};
 };
 
@@ -121,7 +120,8 @@
   void firstToken(const ChoiceQuery &Query, Duration After);
   /// Records that the instance's agent did not answer a question for a slot.
   void unanswered(const InstanceId &Id, TimePoint Now);
-  /// Records the first byte of a request's answer: its prompt has been read.
+  /// Records the first byte of a request's answer: its prompt has been
+  /// prefilled.
   void answering(const InstanceId &Id);
   enum class End { Good, Failed, Neutral };
   /// Records the end of a request. Returns how long the instance is ejected
@@ -177,16 +177,13 @@
     FleetInstance m_Listed;
     bool m_IsListed = true; ///< false: kept only until its requests end
     TimePoint m_ListedAt{}; ///< when it was first listed here
-    bool m_IsConfirmed =
-        /// Known to be alive, from its agent or its own answer.
-        false;
-    bool m_HasOtherIncarnation =
-        /// Its agent reports another incarnation.
-        false;
+    /// Known to be alive, from its agent or its own answer.
+    bool m_IsConfirmed = false;
+    /// Its agent reports another incarnation.
+    bool m_HasOtherIncarnation = false;
     bool m_IsReplaced = false;
-    bool m_HasAnnouncedLeaving =
-        /// Announced by itself, whatever the list says.
-        false;
+    /// Announced by itself, whatever the list says.
+    bool m_HasAnnouncedLeaving = false;
     TimePoint m_BackOffUntil{};
     std::uint32_t m_Own = 0;
     std::uint32_t m_Unanswered = 0; ///< own requests without a first byte
--- a/include/deckpitch/link-delay.h
+++ b/include/deckpitch/link-delay.h
@@ -61,8 +61,8 @@
   /// No datagram is so late that the sender was restarted twice meanwhile.
   static constexpr std::size_t HistoriesKept = 2;
 
-  std::array<Life, HistoriesKept>
-      m_Histories{}; ///< latest new incarnation first
+  /// Latest new incarnation first.
+  std::array<Life, HistoriesKept> m_Histories{};
 };
 
 } // namespace deckpitch
--- a/include/deckpitch/place-ledger.h
+++ b/include/deckpitch/place-ledger.h
@@ -18,8 +18,8 @@
   std::uint32_t m_Slots = 1;
   double m_Reserve = 0;     ///< slots to be left free for others
   Duration m_BetweenEnds{}; ///< between two freed slots of a full engine
-  Duration m_ReadTime{};    ///< time to read the prompt
-  Duration m_WriteTime{};   ///< time of a pass that reads no prompt
+  Duration m_ReadTime{};    ///< time to prefill the prompt
+  Duration m_WriteTime{};   ///< time of a pass without prefill
   Duration m_FirstWithin{}; ///< latest first token, from now on
 
   friend bool operator==(const PlaceQuery &, const PlaceQuery &) = default;
@@ -28,10 +28,10 @@
 /// Grants the slots of one instance to the requests of all entries.
 ///
 /// Many entries see the same report of a free instance, and each sends it a few
-/// prompts before the next report. An engine works in passes: each reads all
+/// prompts before the next report. An engine works in passes: each prefills all
 /// prompts that arrived during the previous one and gives their first tokens at
 /// its end. A burst of prompts therefore delays all of them, and also those
-/// that arrive while it is read. One ledger per instance counts what all
+/// that arrive during their prefill. One ledger per instance counts what all
 /// entries have been granted, so that no entry needs to know of the others.
 class PlaceLedger {
 public:
@@ -49,11 +49,11 @@
   void advance(Duration WriteTime, TimePoint Now);
 
   std::uint32_t m_Reported = 0;
-  std::deque<TimePoint>
-      m_PendingGrants;   ///< grants that the report cannot show yet
+  /// Grants that the report cannot show yet.
+  std::deque<TimePoint> m_PendingGrants;
   TimePoint m_PassEnd{}; ///< end of the current pass
-  Duration
-      m_NextReadTime{}; ///< time to read the prompts granted for the next pass
+  /// Time to prefill the prompts granted for the next pass.
+  Duration m_NextReadTime{};
   /// Time by which the next pass must end for these prompts.
   TimePoint m_NextDeadline = TimePoint::max();
 };
--- a/include/deckpitch/state-spread.h
+++ b/include/deckpitch/state-spread.h
@@ -164,8 +164,8 @@
   EntryCandidate m_Own;
   std::map<InstanceId, DataCentreId> m_Live;
   std::map<DataCentreId, std::vector<InstanceId>> m_Relays; ///< by rank
-  std::optional<std::size_t>
-      m_Rank; ///< rank among the own relays; none: not a relay
+  /// Rank among the own relays; none: not a relay.
+  std::optional<std::size_t> m_Rank;
   std::map<DataCentreId, Partners> m_Partners;
   std::map<InstanceId, RemoteSender> m_RemoteSenders;
   std::map<std::string, Instance> m_Instances; ///< by address
--- a/include/deckpitch/store-belief.h
+++ b/include/deckpitch/store-belief.h
@@ -13,8 +13,8 @@
 /// Freshness of the cached view of one subject: the declaration, or the list of
 /// instances.
 struct StoreBelief {
-  Duration
-      m_Age{}; ///< time since the store is known to have held nothing newer
+  /// Time since the store is known to have held nothing newer.
+  Duration m_Age{};
   /// A newer version may be in force by now, so nothing may be denied for good.
   bool m_MayBeOld = false;
   /// A newer version is known to exist and must be in force by now, or by the
--- a/src/kernel/instance-table.cc
+++ b/src/kernel/instance-table.cc
@@ -22,8 +22,8 @@
 /// instance: its traffic is paid for, and a few more requests make little
 /// difference at an engine that has free slots.
 constexpr double RemotePenalty = 3;
-/// Weight of a request whose prompt has not been read yet, compared with one
-/// that only generates tokens, in the waiting time of the next request.
+/// Weight of a request whose prompt has not been prefilled yet, compared with
+/// one that only decodes, in the waiting time of the next request.
 constexpr double UnansweredWeight = 3;
 /// Number of instances that one choice compares.
 constexpr std::size_t CandidatesCompared = 3;
@@ -226,9 +226,9 @@
 /// Returns the instance's cost as a number of requests; lower is better.
 double InstanceTable::scoreOf(const Instance &Each, TimePoint Now) {
   std::uniform_real_distribution<double> Tie(0, 0.5);
-  const bool IsFar = Each.m_Listed.m_DataCentre != m_Own;
+  const bool IsRemote = Each.m_Listed.m_DataCentre != m_Own;
   return loadOf(Each, Now) + UnansweredWeight * Each.m_Unanswered +
-         (IsFar ? RemotePenalty : 0) + Tie(m_Random);
+         (IsRemote ? RemotePenalty : 0) + Tie(m_Random);
 }
 
 InstanceChoice InstanceTable::choose(const ChoiceQuery &Query, TimePoint Now) {
--- a/src/kernel/place-ledger.cc
+++ b/src/kernel/place-ledger.cc
@@ -35,9 +35,9 @@
   if (m_PassEnd > Now)
     return;
   // The pass that the limit was for has ended, also if it had no prompt to
-  // read: an outdated limit would refuse all later requests.
+  // prefill: an outdated limit would refuse all later requests.
   m_NextDeadline = TimePoint::max();
-  // Passes since then read no prompts, or there were none.
+  // Passes since then only decoded, or there were none.
   const bool IsIdle = held() == 0 || WriteTime <= Duration::zero();
   m_PassEnd = IsIdle ? Now : Now + WriteTime - (Now - m_PassEnd) % WriteTime;
 }
--- a/src/kernel/state-batch.cc
+++ b/src/kernel/state-batch.cc
@@ -18,8 +18,8 @@
 /// flag.
 constexpr std::size_t WeightsBytes = 12;
 
-/// Correction of the time at which other weights are loaded that is not sent:
-/// less than the interval between an agent's two inspections.
+/// Largest correction of the time at which other weights are loaded that is not
+/// sent: less than the interval between an agent's two inspections.
 constexpr Duration SwapTolerance = std::chrono::milliseconds(50);
 
 bool isSwapMoved(const DatedReport &Before, const DatedReport &Now) {
--- a/src/kernel/state-rounds.cc
+++ b/src/kernel/state-rounds.cc
@@ -104,11 +104,11 @@
 }
 
 bool StateSpread::isSilent(const Partners &Of, TimePoint Now) const {
-  const auto IsHeard = [&](const InstanceId &Id) {
+  const auto IsActive = [&](const InstanceId &Id) {
     return m_RemoteSenders.contains(Id);
   };
   return Now - Of.m_Since >= PathTimeout &&
-         !std::all_of(Of.m_Ids.begin(), Of.m_Ids.end(), IsHeard);
+         !std::all_of(Of.m_Ids.begin(), Of.m_Ids.end(), IsActive);
 }
 
 /// Adds the states that are due for repetition. The relays of a data centre
--- a/support/simulation/spread-network.cc
+++ b/support/simulation/spread-network.cc
@@ -139,14 +139,14 @@
 
 std::optional<Duration> SpreadNetwork::delay(std::size_t FromCentre,
                                              std::size_t ToCentre) {
-  const bool IsFar = FromCentre != ToCentre;
+  const bool IsRemote = FromCentre != ToCentre;
   const auto IsCut = [&](std::size_t Centre) {
     return m_Cuts[Centre].m_Since && !m_Cuts[Centre].m_Until;
   };
   std::bernoulli_distribution IsLost(m_Options.m_LossShare);
-  if (IsLost(m_Random) || (IsFar && (IsCut(FromCentre) || IsCut(ToCentre))))
+  if (IsLost(m_Random) || (IsRemote && (IsCut(FromCentre) || IsCut(ToCentre))))
     return std::nullopt;
-  return IsFar ? m_Options.m_RemoteDelay : m_Options.m_LocalDelay;
+  return IsRemote ? m_Options.m_RemoteDelay : m_Options.m_LocalDelay;
 }
 
 void SpreadNetwork::toEntry(std::size_t To, std::size_t FromCentre,
--- a/support/simulation/spread-network.h
+++ b/support/simulation/spread-network.h
@@ -25,8 +25,8 @@
   Duration m_LocalDelay = std::chrono::microseconds(900);
   Duration m_RemoteDelay = std::chrono::microseconds(1'800);
   double m_LossShare = 0;
-  double m_ChangeChance =
-      1; ///< probability that an instance's counts change between inspections
+  /// Probability that an instance's counts change between inspections.
+  double m_ChangeChance = 1;
   std::uint64_t m_Seed = 1;
 };
 
@@ -153,8 +153,8 @@
     InstanceReport m_Told;
     TimePoint m_ToldAt{};
     std::vector<std::optional<TimePoint>> m_Listeners; ///< last hello, by entry
-    std::vector<TimePoint>
-        m_ReportedAt; ///< report times of this incarnation, by sequence
+    /// Report times of this incarnation, by sequence.
+    std::vector<TimePoint> m_ReportedAt;
   };
 
   DataCentreId nameOf(std::size_t DataCentre) const;
--- a/test/instance-table-test.cc
+++ b/test/instance-table-test.cc
@@ -369,7 +369,7 @@
     m_Table.report(Soon.m_Address, {0, 0, true, true, Soon.m_Weights, SwapIn},
                    Start);
   };
-  // Prompt 33 ms, then 100 tokens of 11.3 ms: 1,166 ms.
+  // Prefill 33 ms, then 100 tokens of 11.3 ms: 1,166 ms.
   m_Query.m_Size = {1'000, 100};
   m_Query.m_Tried = {};
   Report(900ms);
--- a/test/place-ledger-test.cc
+++ b/test/place-ledger-test.cc
@@ -13,8 +13,8 @@
 /// A stream of 1,000 prompt tokens at an engine with passes of 43 ms.
 constexpr PlaceQuery Usual{16, 0, 85ms, 32ms, 43ms, 255ms};
 
-/// An engine as its vendor documents it: a pass reads all prompts that arrived
-/// during the previous one, and gives their first tokens at its end.
+/// An engine as its vendor documents it: a pass prefills all prompts that
+/// arrived during the previous one, and gives their first tokens at its end.
 class PassEngine {
 public:
   void send(TimePoint Now) {
--- a/test/state-rounds-test.cc
+++ b/test/state-rounds-test.cc
@@ -70,25 +70,26 @@
 TEST(StateSpreadRounds, NonRelaySendsNothing) {
   StateSpread Of = plainEntry();
   Of.receiveReport(stateOf(OwnInstance, {{5}, 1}, 1), Start);
-  deliver(Of, farRelay(0), There, stateOf(RemoteInstance, {{5}, 1}, 1), Start);
+  deliver(Of, remoteRelay(0), There, stateOf(RemoteInstance, {{5}, 1}, 1),
+          Start);
   for (TimePoint Now = Start; Now < Start + 3s; Now += 10ms)
     EXPECT_TRUE(Of.due(Now).empty());
 }
 
 TEST(StateSpreadRounds, ChangeGoesToAllLocalEntriesAndOneRemoteRelayEach) {
   for (std::size_t Rank : {0U, 1U}) {
-    StateSpread Of = entry(nearRelay(Rank));
+    StateSpread Of = entry(localRelay(Rank));
     Of.receiveReport(stateOf(OwnInstance, {{5}, 1}, 7), Start);
     std::set<InstanceId> Expected = setOf(plainEntriesOf(Here));
-    Expected.insert(nearRelay(1 - Rank));
-    Expected.insert(farRelay(Rank));
+    Expected.insert(localRelay(1 - Rank));
+    Expected.insert(remoteRelay(Rank));
     Expected.insert(chooseRelays(Third, allEntries()).at(Rank));
     EXPECT_EQ(receivers(OwnInstance, Of.due(Start)), Expected);
   }
 }
 
 TEST(StateSpreadRounds, ChangesWaitForRound) {
-  StateSpread Of = relayAfterFirstRound(nearRelay(0));
+  StateSpread Of = relayAfterFirstRound(localRelay(0));
   const InstanceId Near = plainEntriesOf(Here).front();
   std::map<InstanceId, std::vector<TimePoint>> Sent;
   std::uint64_t Sequence = 1;
@@ -106,12 +107,12 @@
       EXPECT_EQ(Times[I] - Times[I - 1], Span);
   };
   CheckInterval(Near, LocalInterval);
-  CheckInterval(farRelay(0), FarSpan);
+  CheckInterval(remoteRelay(0), FarSpan);
 }
 
 TEST(StateSpreadRounds, UnchangedStatesAreRepeatedOncePerInterval) {
   constexpr std::size_t Count = 40;
-  StateSpread Of({nearRelay(0), Here});
+  StateSpread Of({localRelay(0), Here});
   std::vector<ListedAddress> Listed;
   for (std::size_t I = 0; I < Count; ++I)
     Listed.push_back({"10.0.0." + std::to_string(I) + ":9000", Here});
@@ -136,16 +137,16 @@
 }
 
 TEST(StateSpreadRounds, IdleRelaySendsEmptyRounds) {
-  StateSpread Of = relayAfterFirstRound(nearRelay(0));
+  StateSpread Of = relayAfterFirstRound(localRelay(0));
   for (TimePoint Now = Quiet + FarSpan; Now < Quiet + 3s; Now += FarSpan) {
     const std::set<InstanceId> Heard = receivers(Of.due(Now));
     EXPECT_TRUE(Heard.contains(plainEntriesOf(Here).front()));
-    EXPECT_TRUE(Heard.contains(farRelay(0)));
+    EXPECT_TRUE(Heard.contains(remoteRelay(0)));
   }
 }
 
 TEST(StateSpreadRounds, OutdatedStatesAreNotSent) {
-  StateSpread Of = entry(nearRelay(0));
+  StateSpread Of = entry(localRelay(0));
   Of.receiveReport(stateOf(OwnInstance, {{5}, 1}, 7), Start);
   Of.due(Start);
   std::size_t Young = 0;
@@ -158,7 +159,7 @@
 }
 
 TEST(StateSpreadRounds, SendsAgeAtSending) {
-  StateSpread Of = entry(nearRelay(0));
+  StateSpread Of = entry(localRelay(0));
   Of.receiveReport(stateOf(OwnInstance, {{5}, 1}, 7), Start, 20ms);
   std::vector<AgedState> All;
   for (const StateSend &Each : Of.due(Start + 30ms + 1us))
@@ -180,14 +181,14 @@
 class StateSpreadUrgent : public testing::TestWithParam<Urgent> {};
 
 TEST_P(StateSpreadUrgent, IsSentAtOnceAndNotAgainInRound) {
-  StateSpread Of = relayAfterFirstRound(nearRelay(0));
+  StateSpread Of = relayAfterFirstRound(localRelay(0));
   SpreadState Said = stateOf(OwnInstance, {{5}, 2}, 1);
   GetParam().m_Change(Said.m_Report);
   const TimePoint Now = Quiet + 10ms;
   Of.receiveReport(Said, Now);
   std::set<InstanceId> Expected = setOf(plainEntriesOf(Here));
-  Expected.insert(nearRelay(1));
-  Expected.insert(farRelay(0));
+  Expected.insert(localRelay(1));
+  Expected.insert(remoteRelay(0));
   Expected.insert(chooseRelays(Third, allEntries()).at(0));
   EXPECT_EQ(receivers(OwnInstance, Of.due(Now)), Expected);
   const InstanceId Near = plainEntriesOf(Here).front();
@@ -195,22 +196,23 @@
   std::size_t AgainRemote = 0;
   for (TimePoint Later = Now; Later < Now + RepeatSpan; Later += 10ms) {
     // Otherwise everything is sent to both relays there.
-    Of.receiveBatch(farRelay(0), {StateBatchFormat, There, {}}, Later);
+    Of.receiveBatch(remoteRelay(0), {StateBatchFormat, There, {}}, Later);
     const std::vector<StateSend> Sends = Of.due(Later);
     Again += sentTo(Near, Sends).size();
-    AgainRemote += sentTo(farRelay(0), Sends).size();
+    AgainRemote += sentTo(remoteRelay(0), Sends).size();
   }
   EXPECT_LE(Again, 1U); // the repeat
   EXPECT_LE(AgainRemote, 1U);
 }
 
 TEST_P(StateSpreadUrgent, IsPassedOnAtOnceByRemoteRelay) {
-  StateSpread Of = entry(nearRelay(0));
-  deliver(Of, farRelay(0), There, stateOf(RemoteInstance, {{5}, 1}, 1), Start);
+  StateSpread Of = entry(localRelay(0));
+  deliver(Of, remoteRelay(0), There, stateOf(RemoteInstance, {{5}, 1}, 1),
+          Start);
   Of.due(Quiet);
   SpreadState Said = stateOf(RemoteInstance, {{5}, 2}, 1);
   GetParam().m_Change(Said.m_Report);
-  deliver(Of, farRelay(0), There, Said, Quiet + 10ms);
+  deliver(Of, remoteRelay(0), There, Said, Quiet + 10ms);
   EXPECT_EQ(receivers(RemoteInstance, Of.due(Quiet + 10ms)),
             setOf(plainEntriesOf(Here)));
 }
@@ -228,7 +230,7 @@
                          [](const auto &Info) { return Info.param.m_Name; });
 
 TEST(StateSpreadRounds, SwapCountdownIsNoChange) {
-  StateSpread Of = entry(nearRelay(0));
+  StateSpread Of = entry(localRelay(0));
   SpreadState Said = stateOf(OwnInstance, {{5}, 1}, 1);
   Said.m_Report.m_SwapIn = 60s;
   Of.receiveReport(Said, Start);
@@ -238,34 +240,36 @@
     ++Said.m_Order.m_Sequence;
     Said.m_Report.m_SwapIn = 60s - After;
     Of.receiveReport(Said, Start + After);
-    Of.receiveBatch(farRelay(0), {StateBatchFormat, There, {}}, Start + After);
-    Times += sentTo(farRelay(0), Of.due(Start + After)).size();
+    Of.receiveBatch(remoteRelay(0), {StateBatchFormat, There, {}},
+                    Start + After);
+    Times += sentTo(remoteRelay(0), Of.due(Start + After)).size();
   }
   EXPECT_EQ(Times, 1U); // the repeat
 }
 
 TEST(StateSpreadRounds, RemoteStatesGoToLocalNonRelays) {
-  StateSpread Of = entry(nearRelay(0));
-  deliver(Of, farRelay(0), There, stateOf(RemoteInstance, {{5}, 1}, 1), Start);
+  StateSpread Of = entry(localRelay(0));
+  deliver(Of, remoteRelay(0), There, stateOf(RemoteInstance, {{5}, 1}, 1),
+          Start);
   EXPECT_EQ(receivers(RemoteInstance, Of.due(Start)),
             setOf(plainEntriesOf(Here)));
 }
 
 TEST(StateSpreadRounds, StatesOfOtherRelayAreNotSentTwice) {
-  StateSpread Of = relayAfterFirstRound(nearRelay(0));
-  deliver(Of, nearRelay(1), Here, stateOf(OwnInstance, {{5}, 2}, 2),
+  StateSpread Of = relayAfterFirstRound(localRelay(0));
+  deliver(Of, localRelay(1), Here, stateOf(OwnInstance, {{5}, 2}, 2),
           Quiet + 10ms);
-  deliver(Of, nearRelay(1), There, stateOf(RemoteInstance, {{5}, 2}, 2),
+  deliver(Of, localRelay(1), There, stateOf(RemoteInstance, {{5}, 2}, 2),
           Quiet + 10ms);
   const std::vector<StateSend> Sends = Of.due(Quiet + FarSpan);
   // The own path of this relay may not have delivered it.
-  EXPECT_EQ(sentTo(farRelay(0), Sends), (Told{{OwnInstance, {2}}}));
+  EXPECT_EQ(sentTo(remoteRelay(0), Sends), (Told{{OwnInstance, {2}}}));
   for (const InstanceId &Each : plainEntriesOf(Here))
     EXPECT_FALSE(sentTo(Each, Sends).contains(RemoteInstance));
 }
 
 TEST(StateSpreadRounds, SenderForAnotherDataCentreIsNotAnswered) {
-  StateSpread Of = relayAfterFirstRound(nearRelay(0));
+  StateSpread Of = relayAfterFirstRound(localRelay(0));
   const InstanceId Stranger = plainEntriesOf(Third).front();
   deliver(Of, Stranger, There, stateOf(RemoteInstance, {{5}, 1}, 1), Quiet);
   for (TimePoint Now = Quiet; Now < Quiet + 1s; Now += 10ms)
@@ -301,8 +305,9 @@
 }
 
 TEST(StateSpreadRounds, NewEntryReceivesAllStates) {
-  StateSpread Of = relayAfterFirstRound(nearRelay(0));
-  deliver(Of, farRelay(0), There, stateOf(RemoteInstance, {{5}, 1}, 1), Start);
+  StateSpread Of = relayAfterFirstRound(localRelay(0));
+  deliver(Of, remoteRelay(0), There, stateOf(RemoteInstance, {{5}, 1}, 1),
+          Start);
   Of.due(Quiet + 1ms);
   const InstanceId Late = plainEntriesOf(Here).front();
   Of.setEntries(without(allEntries(), {Late}), Quiet + 2ms);
@@ -313,7 +318,7 @@
 }
 
 TEST(StateSpreadRounds, SingleRelaySendsToBothRemoteRelays) {
-  const InstanceId Only = nearRelay(0);
+  const InstanceId Only = localRelay(0);
   StateSpread Of({Only, Here});
   Of.setInstances(listed());
   std::vector<EntryCandidate> Live = entriesOf(There);
@@ -321,15 +326,15 @@
   Of.setEntries(Live, Start);
   Of.receiveReport(stateOf(OwnInstance, {{5}, 1}, 1), Start);
   EXPECT_EQ(receivers(OwnInstance, Of.due(Start)),
-            (std::set<InstanceId>{farRelay(0), farRelay(1)}));
+            (std::set<InstanceId>{remoteRelay(0), remoteRelay(1)}));
 }
 
 TEST(StateSpreadRounds, BothRelaysSendToSingleRemoteRelay) {
-  const InstanceId Only = farRelay(0);
+  const InstanceId Only = remoteRelay(0);
   std::vector<EntryCandidate> Live = entriesOf(Here);
   Live.push_back({Only, There});
   for (std::size_t Rank : {0U, 1U}) {
-    StateSpread Of({nearRelay(Rank), Here});
+    StateSpread Of({localRelay(Rank), Here});
     Of.setInstances(listed());
     Of.setEntries(Live, Start);
     Of.receiveReport(stateOf(OwnInstance, {{5}, 1}, 1), Start);
@@ -338,26 +343,26 @@
 }
 
 TEST(StateSpreadRounds, SilentPartnerIsBackedUpByBothRelays) {
-  StateSpread Of = relayAfterFirstRound(nearRelay(0));
+  StateSpread Of = relayAfterFirstRound(localRelay(0));
   const auto IsOtherReached = [&](TimePoint Now) {
     const std::set<InstanceId> Heard = receivers(Of.due(Now));
-    EXPECT_TRUE(Heard.contains(farRelay(0)));
-    return Heard.contains(farRelay(1));
+    EXPECT_TRUE(Heard.contains(remoteRelay(0)));
+    return Heard.contains(remoteRelay(1));
   };
   const StateBatch Empty{StateBatchFormat, There, {}};
   EXPECT_FALSE(IsOtherReached(Start + FarSpan + 1ms));
-  Of.receiveBatch(farRelay(0), Empty, Start + FarSpan + 1ms);
+  Of.receiveBatch(remoteRelay(0), Empty, Start + FarSpan + 1ms);
   EXPECT_FALSE(IsOtherReached(Start + PathTimeout));
   EXPECT_TRUE(IsOtherReached(Start + FarSpan + PathTimeout + 100ms));
-  Of.receiveBatch(farRelay(0), Empty, Start + 2s);
+  Of.receiveBatch(remoteRelay(0), Empty, Start + 2s);
   EXPECT_FALSE(IsOtherReached(Start + 2s));
 }
 
 TEST(StateSpreadRounds, SuccessorRelayIsAnswered) {
-  StateSpread Of = relayAfterFirstRound(nearRelay(0));
+  StateSpread Of = relayAfterFirstRound(localRelay(0));
   const StateBatch Empty{StateBatchFormat, There, {}};
   const InstanceId Successor = plainEntriesOf(There).front();
-  Of.receiveBatch(farRelay(0), Empty, Quiet + 10ms);
+  Of.receiveBatch(remoteRelay(0), Empty, Quiet + 10ms);
   Of.receiveBatch(Successor, Empty, Quiet + 10ms);
   const std::vector<StateSend> Sends = Of.due(Quiet + FarSpan);
   EXPECT_EQ(sentTo(Successor, Sends), (Told{{OwnInstance, {1}}}));
--- a/test/state-spread-fixture.h
+++ b/test/state-spread-fixture.h
@@ -41,10 +41,10 @@
   return Live;
 }
 
-inline InstanceId nearRelay(std::size_t Rank) {
+inline InstanceId localRelay(std::size_t Rank) {
   return chooseRelays(Here, allEntries()).at(Rank);
 }
-inline InstanceId farRelay(std::size_t Rank) {
+inline InstanceId remoteRelay(std::size_t Rank) {
   return chooseRelays(There, allEntries()).at(Rank);
 }
 
--- a/test/state-spread-simulation-test.cc
+++ b/test/state-spread-simulation-test.cc
@@ -58,9 +58,8 @@
 }
 
 void print(const char *What, const SpreadAges &Of) {
-  std::cout << What << ": local 99% "
-            << ms(percentile(Of.m_Near, AgePercentile)) << " ms, most "
-            << ms(most(Of.m_Near)) << " ms; remote 99% "
+  std::cout << What << ": near 99% " << ms(percentile(Of.m_Near, AgePercentile))
+            << " ms, most " << ms(most(Of.m_Near)) << " ms; far 99% "
             << ms(percentile(Of.m_Far, AgePercentile)) << " ms, most "
             << ms(most(Of.m_Far)) << " ms\n";
 }
@@ -91,7 +90,7 @@
   Under.runFor(Settling);
   SpreadAges Ages;
   Under.runFor(2s, Ages);
-  print("without faults", Ages);
+  print("undisturbed", Ages);
   expectAims(Ages);
   EXPECT_LE(most(Ages.m_Near), MaxStateAge);
   EXPECT_LE(most(Ages.m_Far), MaxStateAge);
--- a/test/state-spread-test.cc
+++ b/test/state-spread-test.cc
@@ -30,7 +30,7 @@
 TEST(StateSpread, AddsDelayToReceivedAge) {
   StateSpread Of = plainEntry();
   const SpreadState Said = stateOf(RemoteInstance, {{5}, 1}, 7);
-  Of.receiveBatch(farRelay(0), {StateBatchFormat, There, {{Said, 150ms}}},
+  Of.receiveBatch(remoteRelay(0), {StateBatchFormat, There, {{Said, 150ms}}},
                   Start + 1s, 20ms);
   EXPECT_EQ(Of.find(RemoteInstance), (KnownState{Said, Start + 830ms}));
 }
@@ -39,7 +39,7 @@
   StateSpread Of = plainEntry();
   const SpreadState Said = stateOf(OwnInstance, {{5}, 1}, 7);
   const auto Tell = [&](std::chrono::milliseconds Age) {
-    Of.receiveBatch(nearRelay(0), {StateBatchFormat, Here, {{Said, Age}}},
+    Of.receiveBatch(localRelay(0), {StateBatchFormat, Here, {{Said, Age}}},
                     Start + 1s);
     return Of.find(OwnInstance)->m_AsOf;
   };
@@ -66,11 +66,11 @@
                  TimePoint Now) { By.receiveReport(Said, Now); }},
     {"NearRelay",
      [](StateSpread &By, const SpreadState &Said, TimePoint Now) {
-       receiveFrom(By, nearRelay(0), Said, Now);
+       receiveFrom(By, localRelay(0), Said, Now);
      }},
     {"FarRelay",
      [](StateSpread &By, const SpreadState &Said, TimePoint Now) {
-       receiveFrom(By, farRelay(0), Said, Now);
+       receiveFrom(By, remoteRelay(0), Said, Now);
      }},
     {"Unknown", [](StateSpread &By, const SpreadState &Said,
                    TimePoint Now) { receiveFrom(By, {"unknown"}, Said, Now); }},
@@ -140,7 +140,7 @@
   StateBatch Told{StateBatchFormat, There, {}};
   Told.m_States.push_back({stateOf(RemoteInstance, {{5}, 1}, 7), 100ms});
   GetParam().m_Corrupt(Told);
-  Of.receiveBatch(farRelay(0), Told, Start);
+  Of.receiveBatch(remoteRelay(0), Told, Start);
   EXPECT_EQ(Of.find(RemoteInstance), std::nullopt);
   EXPECT_EQ(Of.find("10.9.9.9:1"), std::nullopt);
   EXPECT_EQ(Of.refusedStates(), GetParam().m_Count);
@@ -182,7 +182,7 @@
   StateSpread Of = plainEntry();
   const AgedState Sound{stateOf(RemoteInstance, {{5}, 1}, 7), 100ms};
   const AgedState Unlisted{stateOf("10.9.9.9:1", {{5}, 1}, 7), 100ms};
-  Of.receiveBatch(farRelay(0), {StateBatchFormat, There, {Unlisted, Sound}},
+  Of.receiveBatch(remoteRelay(0), {StateBatchFormat, There, {Unlisted, Sound}},
                   Start);
   EXPECT_EQ(runningAt(Of, RemoteInstance), 7U);
   EXPECT_EQ(Of.refusedStates(), 1U);
@@ -199,30 +199,30 @@
 
 TEST(StateSpread, RelaysWantReports) {
   for (std::size_t Rank : {0U, 1U})
-    EXPECT_TRUE(entry(nearRelay(Rank)).wantsReports(Start));
+    EXPECT_TRUE(entry(localRelay(Rank)).wantsReports(Start));
   EXPECT_FALSE(plainEntry().wantsReports(Start));
 }
 
 TEST(StateSpread, SilentRelaysMakeEntryWantReports) {
   StateSpread Of = plainEntry();
   const StateBatch Empty{StateBatchFormat, Here, {}};
-  Of.receiveBatch(nearRelay(1), Empty, Start + 100ms);
+  Of.receiveBatch(localRelay(1), Empty, Start + 100ms);
   const TimePoint Silent = Start + 100ms + RelayTimeout;
   EXPECT_FALSE(Of.wantsReports(Silent - 1ns));
   EXPECT_TRUE(Of.wantsReports(Silent));
-  Of.receiveBatch(nearRelay(0), Empty, Silent + 100ms);
+  Of.receiveBatch(localRelay(0), Empty, Silent + 100ms);
   for (Duration After = 100ms; After < MinDirectReporting; After += 100ms) {
     EXPECT_TRUE(Of.wantsReports(Silent + After));
-    Of.receiveBatch(nearRelay(0), Empty, Silent + After);
+    Of.receiveBatch(localRelay(0), Empty, Silent + After);
   }
   EXPECT_FALSE(Of.wantsReports(Silent + MinDirectReporting));
 }
 
 TEST(StateSpread, BatchesOfOthersDoNotCountAsOwnRelays) {
   StateSpread Of = plainEntry();
-  Of.receiveBatch(farRelay(0), {StateBatchFormat, There, {}}, Start + 300ms);
-  Of.receiveBatch(nearRelay(0), {StateBatchFormat, There, {}}, Start + 300ms);
-  Of.receiveBatch(farRelay(0), {StateBatchFormat, Here, {}}, Start + 300ms);
+  Of.receiveBatch(remoteRelay(0), {StateBatchFormat, There, {}}, Start + 300ms);
+  Of.receiveBatch(localRelay(0), {StateBatchFormat, There, {}}, Start + 300ms);
+  Of.receiveBatch(remoteRelay(0), {StateBatchFormat, Here, {}}, Start + 300ms);
   EXPECT_TRUE(Of.wantsReports(Start + RelayTimeout));
 }
 
--- a/test/store-belief-test.cc
+++ b/test/store-belief-test.cc
@@ -54,8 +54,7 @@
 /// Entries that alone had lost the store, while others read it, kept an
 /// instance for 4.2 s after it had left.
 TEST(StoreBelief, OwnOutageIsNoStoreReturn) {
-  const TimePoint Late =
-      Start + 1'500ms; // Later than every process's turn to read.
+  const TimePoint Late = Start + 1'500ms; // Later than the reads of all ranks.
   SharedReading Heard = readAt(Start);
   EXPECT_TRUE(showsReturn(Heard, true, Late));
   // The process was paused and has not even tried to read.
@@ -196,7 +195,7 @@
   }
 }
 
-TEST(AsOfTold, IncludesSenderAgeAndDelay) {
+TEST(AsOfReport, IncludesSenderAgeAndDelay) {
   const ToldReading Own{300ms, 40ms, false, false};
   EXPECT_EQ(asOfTold(Own, Start), Start - 340ms);
   const ToldReading NearRelayed{300ms, 40ms, true, true};
@@ -207,7 +206,7 @@
 
 /// Neither process reads the store. Each sends the other every 10 ms what it
 /// knows; the network delay of 3 ms is visible to neither.
-TEST(AsOfTold, MutualReportsDoNotMakeViewFresher) {
+TEST(AsOfReport, MutualReportsDoNotMakeViewFresher) {
   constexpr Duration Way = 3ms;
   SharedReading One = readAt(Start);
   SharedReading Other = readAt(Start - 200ms);
