--- a/include/deckpitch/instance-list.h
+++ b/include/deckpitch/instance-list.h
@@ -36,7 +36,7 @@
 std::optional<InstanceList> applyChange(InstanceList To,
                                         const InstanceListChange &Change);
 
-/// Instances whose list entries expired during an outage of the store. Those
+/// Instances that expired from the list during an outage of the store. Those
 /// that are alive register again soon after it returns, and count as listed
 /// until then.
 class LapsedInstances {
--- a/include/deckpitch/instance-table.h
+++ b/include/deckpitch/instance-table.h
@@ -150,7 +150,7 @@
   bool rest(const InstanceId &Id, TimePoint Until, TimePoint Now);
   /// Records that an instance closed the connection of a request that was sent
   /// to it at that time. Returns true if the instance was alive after that, as
-  /// far as is known: the request may have crashed it. A proxy in between may
+  /// far as is known: the request may have crashed it. An intermediary may
   /// accept connections for an instance that is gone.
   bool lost(const InstanceId &Id, TimePoint Sent, TimePoint Now);
   /// Records that the address now belongs to another incarnation: the instance
--- a/test/instance-table-test.cc
+++ b/test/instance-table-test.cc
@@ -64,8 +64,9 @@
   EXPECT_FALSE(m_Table.leaving({"unknown"}));
 }
 
-/// A proxy accepted connections for an instance that was gone and closed them
-/// at once, so that every request sent there seemed to have crashed it.
+/// An intermediary accepted connections for an instance that was gone and
+/// closed them at once, so that every request sent there seemed to have crashed
+/// it.
 TEST_F(InstanceTableTest, RequestToGoneInstanceIsNoCrashSuspect) {
   FleetInstance Plain = listed("plain");
   Plain.m_Service = {"desk"};
@@ -82,8 +83,9 @@
   EXPECT_TRUE(m_Table.lost({"plain"}, Start + 40ms, Start + 50ms));
 }
 
-/// A call without streaming crashed one instance after the other and was not
-/// counted as harmful: as no data had come, it was assumed not to have begun.
+/// A call whose answer is not streamed crashed one instance after the other and
+/// was not counted as harmful: as no data had come, it was assumed not to have
+/// begun.
 TEST_F(InstanceTableTest, RequestWithoutAnswerMayHaveCrashedInstance) {
   const FleetInstance One = listed("i");
   list({One});
--- a/test/shared-reading-test.cc
+++ b/test/shared-reading-test.cc
@@ -132,7 +132,7 @@
   const InstanceListChange Change =
       changeBetween(Before, listOf({instanceOf("i1"), instanceOf("i2")}));
   EXPECT_FALSE(applyChange(listOf({instanceOf("i9")}), Change));
-  InstanceListChange Cut = Change; // Entries that did not fit are left out.
+  InstanceListChange Cut = Change; // Instances that did not fit are left out.
   Cut.m_Put.clear();
   EXPECT_FALSE(applyChange(Before, Cut));
 }
--- a/test/state-spread-test.cc
+++ b/test/state-spread-test.cc
@@ -64,11 +64,11 @@
 const Way Ways[] = {
     {"Agent", [](StateSpread &By, const SpreadState &Said,
                  TimePoint Now) { By.receiveReport(Said, Now); }},
-    {"NearRelay",
+    {"LocalRelay",
      [](StateSpread &By, const SpreadState &Said, TimePoint Now) {
        receiveFrom(By, localRelay(0), Said, Now);
      }},
-    {"FarRelay",
+    {"RemoteRelay",
      [](StateSpread &By, const SpreadState &Said, TimePoint Now) {
        receiveFrom(By, remoteRelay(0), Said, Now);
      }},
