--- a/include/deckpitch/swarm.h
+++ b/include/deckpitch/swarm.h
@@ -1,4 +1,5 @@
-// Decides which chunk of one copy moves where: the agent's part of a swarm.
+// Decides which chunks of one copy an agent requests, sends and reads from the
+// origin.
 #pragma once
 
 #include "deckpitch/chunk-set.h"
@@ -17,74 +18,77 @@
 
 namespace deckpitch {
 
-/// Number of a connection to a peer, given by whoever drives the swarm.
+/// Number of a connection to a peer, assigned by the caller of the swarm.
 using PeerNumber = std::uint32_t;
 
 struct SwarmOptions {
-  std::uint32_t m_Uploads = 3;      ///< chunks promised or being sent at once
-  std::uint32_t m_Expected = 4;     ///< chunks asked of peers at once
-  std::uint32_t m_Unstaged = 8;     ///< chunks in memory, not yet staged
-  std::uint32_t m_OriginReads = 2;  ///< by this instance at once
-  std::uint32_t m_OriginWindow = 6; ///< by the whole pool at once
-  /// What the origin's link takes for a chunk: the window moves on by as much,
-  /// though no news of what has come be heard. Zero: not known.
+  std::uint32_t m_Uploads = 3;  ///< limit of grants and chunks being sent
+  std::uint32_t m_Expected = 4; ///< limit of chunks requested from peers
+  std::uint32_t m_Unstaged = 8; ///< limit of chunks in memory, not yet staged
+  std::uint32_t m_OriginReads = 2; ///< limit of parallel reads by this instance
+  std::uint32_t m_OriginWindow = 6; ///< limit of parallel reads by the pool
+  /// Transfer time of a chunk over the origin's link. The window advances by
+  /// one chunk per such interval even without announcements from peers. Zero:
+  /// unknown.
   Duration m_OriginPace{};
   Preference m_Preference = Preference::OriginBytes;
-  double m_HedgeShare = 0.05; ///< of the chunks may be asked for twice
-  double m_ExtraCopies = 3.0; ///< that a pool preferring time may read
+  double m_HedgeShare = 0.05; ///< share of chunks that may be hedged
+  /// Limit of redundant origin reads, in copies, of a pool that prefers time.
+  double m_ExtraCopies = 3.0;
   Duration m_GrantLifetime = std::chrono::seconds(2);
   Duration m_DeclineRest = std::chrono::milliseconds(100);
-  Duration m_StallAfter = std::chrono::seconds(2); ///< without a byte
-  /// Something is told to all peers at least that often.
+  Duration m_StallTimeout = std::chrono::seconds(2); ///< without a byte
+  /// Interval at which peers receive an announcement, if only an empty one.
   Duration m_KeepAlive = std::chrono::seconds(1);
-  Duration m_SilentAfter = std::chrono::seconds(5); ///< without a message
-  Duration m_OriginStep = std::chrono::seconds(1);  ///< least, for each rank
-  /// How long each further importer waits for those before it: several times
-  /// what one chunk takes over a link of some Mbit/s.
+  Duration m_SilenceTimeout = std::chrono::seconds(5); ///< without a message
+  /// Minimum delay per rank before a chunk is read from the origin.
+  Duration m_OriginStep = std::chrono::seconds(1);
+  /// Delay per rank before an importer takes a chunk: several times the
+  /// transfer time of a chunk over a link of some Mbit/s.
   Duration m_ImportWait = std::chrono::milliseconds(600);
-  /// After a read that failed; it doubles with each further one in a row up to
-  /// the longest. An origin that loses some answers is asked again soon, and
-  /// one that is away seldom.
+  /// Backoff after a failed read. It doubles with each consecutive failure up
+  /// to the maximum, so that an origin that loses single answers is retried
+  /// soon and one that is down seldom.
   Duration m_OriginRest = std::chrono::milliseconds(100);
-  Duration m_OriginRestMost = std::chrono::seconds(1);
-  /// A chunk that one peer alone has for so long is read from the origin again
-  /// by one instance after the other: its holder's link may be narrow, and all
-  /// would wait for it. Zero: never.
+  Duration m_MaxOriginBackoff = std::chrono::seconds(1);
+  /// A chunk that only one peer has held for this long is read from the origin
+  /// again, by one instance after the other: all would otherwise wait for the
+  /// holder, whose link may be slow. Zero: never.
   Duration m_SoleHolderWait{};
-  /// A chunk that takes longer from the asking to its arrival has queued on a
-  /// narrow link, and requests for the instance with it: fewer are then asked
-  /// for at once. Zero: always as many.
+  /// A chunk that takes longer from request to arrival has queued on a slow
+  /// link and delayed inference requests to the instance; fewer chunks are then
+  /// requested in parallel. Zero: the limit is fixed.
   Duration m_ChunkPatience{};
-  /// The rest of one chunk doubles up to this while it arrives corrupted.
-  Duration m_CorruptRestMost = std::chrono::minutes(1);
-  Duration m_SetAside = std::chrono::seconds(10);
-  Duration m_SetAsideLong = std::chrono::minutes(10);
+  /// Maximum backoff of a single chunk that the origin keeps returning corrupt.
+  Duration m_MaxCorruptBackoff = std::chrono::minutes(1);
+  Duration m_Quarantine = std::chrono::seconds(10);
+  Duration m_LongQuarantine = std::chrono::minutes(10);
 
   friend bool operator==(const SwarmOptions &, const SwarmOptions &) = default;
 };
 
-/// How a pool shares the reading of an origin.
+/// How the instances of a pool share the reading from an origin.
 struct OriginPacing {
-  std::uint32_t m_Window = 1; ///< chunks read by the whole pool at once
-  Duration m_Step{};  ///< until the next in a chunk's order reads it as well
-  Duration m_Chunk{}; ///< that the origin's link takes for one; 0: not known
+  std::uint32_t m_Window = 1; ///< limit of parallel reads by the pool
+  Duration m_Step{};  ///< delay per rank before an instance reads a chunk
+  Duration m_Chunk{}; ///< transfer time of a chunk; 0: unknown
 
   friend bool operator==(const OriginPacing &, const OriginPacing &) = default;
 };
 
-/// The load pattern it answers: all instances of a pool begin to copy a version
-/// in one moment, and the origin's link carries a few chunks in the time in
-/// which they hear of each other's. Chunks that are read at once come late
-/// together; where that takes longer than the next reader waits, it reads them
-/// again, which makes all of them later still. Mbps: of the origin's link; 0:
-/// not known.
+/// Computes the pacing for an origin whose link has a bandwidth of Mbps (0:
+/// unknown). All instances of a pool start to copy a version at the same
+/// moment, and the link carries only a few chunks in the time that
+/// announcements take. Chunks that are read in parallel share the link and all
+/// arrive late; if that takes longer than the delay of the next reader, it
+/// reads them again and slows all of them down further.
 OriginPacing originPacing(double Mbps, std::uint32_t ChunkBytes);
 
-/// Whether chunks queue on the way to an instance, and requests behind them.
+/// Whether chunks queue on the link to an instance, and requests behind them.
 enum class LinkVerdict {
-  Unknown, ///< too few chunks have come to tell
+  Unknown, ///< too few chunks have arrived
   Sound,
-  Narrow ///< chunks take so long that fewer are asked for
+  Narrow ///< so slow that fewer chunks are requested
 };
 
 /// Offers a peer one chunk of its choice.
@@ -93,14 +97,14 @@
   friend bool operator==(const SendGrant &, const SendGrant &) = default;
 };
 
-/// Asks for a chunk, in answer to a grant.
+/// Requests a chunk in answer to a grant.
 struct SendRequest {
   PeerNumber m_Peer;
   std::uint32_t m_Chunk;
   friend bool operator==(const SendRequest &, const SendRequest &) = default;
 };
 
-/// Answers a grant that is of no use now.
+/// Declines a grant.
 struct SendDecline {
   PeerNumber m_Peer;
   friend bool operator==(const SendDecline &, const SendDecline &) = default;
@@ -112,14 +116,15 @@
   friend bool operator==(const SendChunk &, const SendChunk &) = default;
 };
 
-/// Tells the asker that its chunk will not come.
+/// Tells the requester that its chunk will not be sent.
 struct SendRefusal {
   PeerNumber m_Peer;
   std::uint32_t m_Chunk;
   friend bool operator==(const SendRefusal &, const SendRefusal &) = default;
 };
 
-/// Tells all peers of chunks that are now here, or known to be somewhere.
+/// Announces to all peers the chunks that were staged here, and those that are
+/// known to be held by any instance.
 struct SendHave {
   std::vector<std::uint32_t> m_Here;
   std::vector<std::uint32_t> m_Seen;
@@ -131,14 +136,14 @@
   friend bool operator==(const ReadOrigin &, const ReadOrigin &) = default;
 };
 
-/// Ends the connection; the peer is not to be used before that time.
+/// Closes the connection; the peer must not be used before m_Until.
 struct DropPeer {
   PeerNumber m_Peer;
   TimePoint m_Until;
   friend bool operator==(const DropPeer &, const DropPeer &) = default;
 };
 
-/// The known peers do not suffice.
+/// Asks the caller for more peers: the known ones do not suffice.
 struct AskForPeers {
   friend bool operator==(const AskForPeers &, const AskForPeers &) = default;
 };
@@ -155,58 +160,59 @@
   std::uint64_t m_Corrupt = 0;
   std::uint64_t m_Hedges = 0;
   std::uint64_t m_Stalls = 0;
-  std::uint64_t m_Crossings = 0; ///< chunks taken from other data centres
+  std::uint64_t m_Crossings = 0; ///< chunks received from other data centres
 
   friend bool operator==(const SwarmCounters &,
                          const SwarmCounters &) = default;
 };
 
-/// What a copy that gains nothing waits for, as its log tells it.
+/// What a copy that makes no progress waits for, for the log.
 struct CopyWait {
   std::uint32_t m_Missing = 0;
-  std::uint32_t m_Chunk = 0;       ///< the first of them
+  std::uint32_t m_Chunk = 0;       ///< the first missing one
   std::uint32_t m_Near = 0;        ///< peers in the same data centre
-  std::uint32_t m_Far = 0;         ///< peers elsewhere
-  std::uint32_t m_NearHolders = 0; ///< of that chunk, as far as is known here
+  std::uint32_t m_Far = 0;         ///< peers in other data centres
+  std::uint32_t m_NearHolders = 0; ///< peers known to hold m_Chunk
   std::uint32_t m_FarHolders = 0;
-  std::uint32_t m_Asked = 0;   ///< chunks asked of peers
-  Duration m_AskedFor{};       ///< how long the oldest of these
-  InstanceId m_AskedOf;        ///< and of whom
-  std::uint32_t m_Reading = 0; ///< chunks asked of the origin
-  Duration m_OriginRest{};     ///< until it is asked again
-  Duration m_SinceGain{};      ///< a chunk from anywhere
+  std::uint32_t m_Asked = 0;   ///< chunks requested from peers
+  Duration m_AskedFor{};       ///< age of the oldest of these requests
+  InstanceId m_AskedOf;        ///< the peer it was sent to
+  std::uint32_t m_Reading = 0; ///< chunks being read from the origin
+  Duration m_OriginRest{};     ///< until the origin is read again
+  Duration m_SinceGain{};      ///< since the last chunk from any source
 
   friend bool operator==(const CopyWait &, const CopyWait &) = default;
 };
 
-/// One copy's state at one agent: events in, actions out, no clock, no socket.
+/// The state of one copy at one agent. Takes events and returns actions; has no
+/// clock and no socket.
 ///
-/// A sender with room offers a chunk to the neighbour that misses most
-/// (grant); the receiver chooses the chunk that is rarest among its peers
-/// (request). Each chunk is read from the origin by one instance, the first
-/// in the chunk's rendezvous order; the next ones step in when it does not
-/// show up in time.
+/// A sender with a free upload slot offers a chunk to the peer that has the
+/// fewest (grant); the receiver chooses the chunk that is rarest among its
+/// peers (request). Each chunk is read from the origin by one instance, the
+/// first in the chunk's rendezvous order; the next ones read it when it is not
+/// announced in time.
 class Swarm {
 public:
   Swarm(InstanceId Self, DataCentreId DataCentre, std::uint32_t Chunks,
         SwarmOptions Options, std::uint64_t Seed);
 
-  /// Everyone that is to hold these weights, this instance included; orders
-  /// who reads which chunk from the origin.
+  /// Sets the instances that are to hold these weights, this one included. They
+  /// determine which instance reads which chunk from the origin.
   void setInstances(const std::vector<InstanceId> &Instances);
-  /// Every instance by its data centre. For each chunk one instance of each
-  /// data centre, the importer, takes it from far peers, so that it crosses
-  /// between data centres once. Some others in their order take it when it
-  /// does not come; all of them at once would fill the link between the data
-  /// centres with the same chunk. Without this call every instance takes far
-  /// chunks that no near peer has.
+  /// Sets all instances by data centre. For each chunk one instance of each
+  /// data centre, the importer, takes it from remote peers, so that it is
+  /// transferred between data centres once. A few others take it in rank order
+  /// if it does not arrive; all of them in parallel would fill the link between
+  /// the data centres with the same chunk. Without this call every instance
+  /// takes remote chunks that no local peer has.
   void setDataCentres(
       const std::map<DataCentreId, std::vector<InstanceId>> &Instances);
-  /// Those of other data centres that are to read what this instance imports.
+  /// Instances of other data centres that import the same chunks as this one.
   std::set<InstanceId> importSources() const;
   void setPreference(Preference Value) { m_Options.m_Preference = Value; }
 
-  /// A chunk found here at the start. Already verified.
+  /// Adds a chunk that was found in staging at the start. It must be verified.
   SwarmActions addStaged(std::uint32_t Chunk, TimePoint Now);
 
   SwarmActions onPeerJoined(PeerNumber Peer, InstanceId Id,
@@ -219,12 +225,12 @@
   SwarmActions onDecline(PeerNumber Peer, TimePoint Now);
   SwarmActions onRequest(PeerNumber Peer, std::uint32_t Chunk, TimePoint Now);
   SwarmActions onRefusal(PeerNumber Peer, std::uint32_t Chunk, TimePoint Now);
-  /// A chunk was sent, or cannot be: the upload's place is free again.
+  /// A chunk was sent or cannot be sent; either frees the upload slot.
   SwarmActions onSent(PeerNumber Peer, std::uint32_t Chunk, TimePoint Now);
-  /// Some bytes of an expected chunk came.
+  /// Some bytes of an expected chunk arrived.
   void onProgress(PeerNumber Peer, std::uint32_t Chunk, TimePoint Now);
-  /// All bytes of a chunk came and were checked against its digest. Only
-  /// verified chunks for which wants() holds are to be staged.
+  /// All bytes of a chunk arrived and were checked against its digest. Only
+  /// verified chunks for which wants() was true before must be staged.
   SwarmActions onArrived(PeerNumber Peer, std::uint32_t Chunk, bool Verified,
                          TimePoint Now);
   enum class OriginOutcome { Good, Corrupt, Failed, Refused };
@@ -242,11 +248,11 @@
   const ChunkSet &here() const { return m_Here; }
   const ChunkSet &seen() const { return m_Seen; }
   const SwarmCounters &counters() const { return m_Counters; }
-  /// What this copy's chunks have shown of the machine's link.
+  /// The state of the instance's link, judged by this copy's chunk times.
   LinkVerdict linkVerdict() const;
   std::size_t peerCount() const { return m_Peers.size(); }
   bool setAside(const InstanceId &Id, TimePoint Now) const;
-  /// Without a meaning once the copy is complete.
+  /// Must not be called once the copy is complete.
   CopyWait waitsFor(TimePoint Now) const;
 
 private:
@@ -259,12 +265,12 @@
   struct Peer {
     InstanceId m_Id;
     DataCentreId m_DataCentre;
-    bool m_IsNear = true; ///< in this instance's data centre
+    bool m_IsLocal = true; ///< in this instance's data centre
     ChunkSet m_Has;
-    std::uint32_t m_Useful = 0; ///< chunks here that it misses
+    std::uint32_t m_Useful = 0; ///< chunks held here that the peer lacks
     std::optional<TimePoint> m_Granted;
-    TimePoint m_RestUntil{}; ///< after it declined
-    TimePoint m_Heard{};
+    TimePoint m_NoGrantUntil{}; ///< after it declined
+    TimePoint m_LastMessageAt{};
     std::vector<std::uint32_t> m_Sending;
     std::vector<Transfer> m_Expected;
   };
@@ -274,18 +280,18 @@
     TimePoint m_Until{};
   };
 
-  /// A chunk that the origin gave with a wrong digest.
+  /// Backoff of a chunk that the origin returned with a wrong digest.
   struct CorruptRead {
-    Duration m_Rest{};
+    Duration m_Backoff{};
     TimePoint m_Until{};
   };
 
   Peer *find(PeerNumber Number);
   std::uint32_t uploads() const;
-  bool hasRoom() const;
-  void adaptRoom(Duration ChunkTook);
+  bool mayRequest() const;
+  void adaptRequestLimit(Duration ChunkTook);
   void grant(SwarmActions &Out, TimePoint Now);
-  Peer *neediest(TimePoint Now, PeerNumber &Number);
+  Peer *selectGrantee(TimePoint Now, PeerNumber &Number);
   std::optional<std::uint32_t> choose(const Peer &From, TimePoint Now);
   bool mayImport(const InstanceId &Who, const DataCentreId &In,
                  std::uint32_t Chunk, TimePoint Now) const;
@@ -303,21 +309,21 @@
   bool mayRead(std::uint32_t Chunk, TimePoint Now);
   bool waitsForSoleHolder(std::uint32_t Chunk, TimePoint Now) const;
   bool unheldFor(std::uint32_t Chunk, Duration Length, TimePoint Now);
-  void readForTime(SwarmActions &Out, TimePoint Now);
+  void readExtraCopy(SwarmActions &Out, TimePoint Now);
   void startRead(std::uint32_t Chunk, SwarmActions &Out);
-  bool rests(std::uint32_t Chunk, TimePoint Now) const;
-  void restChunk(std::uint32_t Chunk, TimePoint Now);
+  bool isBackingOff(std::uint32_t Chunk, TimePoint Now) const;
+  void backOffChunk(std::uint32_t Chunk, TimePoint Now);
   bool starved(TimePoint Now) const;
-  std::uint32_t goneFromOrigin(TimePoint Now) const;
-  void openWindow(TimePoint Now);
+  std::uint32_t countReadFromOrigin(TimePoint Now) const;
+  void advanceWindow(TimePoint Now);
   Duration originStep() const;
   bool stalled(const Peer &Each, TimePoint Now) const;
   void dropStalled(SwarmActions &Out, TimePoint Now);
-  void tellPeers(SwarmActions &Out, TimePoint Now);
-  Peer *hear(PeerNumber Number, TimePoint Now);
+  void announceToPeers(SwarmActions &Out, TimePoint Now);
+  Peer *findAndTouch(PeerNumber Number, TimePoint Now);
   void drop(PeerNumber Number, TimePoint Until, SwarmActions &Out);
   void forget(PeerNumber Number);
-  TimePoint punish(const InstanceId &Id, TimePoint Now);
+  TimePoint quarantine(const InstanceId &Id, TimePoint Now);
 
   InstanceId m_Self;
   DataCentreId m_DataCentre;
@@ -325,39 +331,40 @@
   std::minstd_rand m_Random;
 
   ChunkSet m_Here;     ///< verified and staged
-  ChunkSet m_Unstaged; ///< verified, on the way to staging
-  ChunkSet m_Taken;    ///< on the way from a peer or the origin, or unstaged
-  ChunkSet m_Seen;     ///< known to be out of the origin, anywhere
+  ChunkSet m_Unstaged; ///< verified, being staged
+  ChunkSet m_Taken;    ///< requested from a peer or the origin, or unstaged
+  ChunkSet m_Seen;     ///< known to be held by any instance
   std::vector<std::uint32_t> m_Copies; ///< of each chunk, among the peers
-  /// The same for the peers of each data centre.
+  /// Copies of each chunk among the peers of each data centre.
   std::map<DataCentreId, std::vector<std::uint32_t>> m_CopiesIn;
   std::map<PeerNumber, Peer> m_Peers;
   std::map<InstanceId, Failure> m_Failures;
-  std::vector<std::uint32_t> m_FreshSeen; ///< not yet told to the peers
-  TimePoint m_Told{};                     ///< when the peers were last told
+  std::vector<std::uint32_t>
+      m_UnannouncedSeen;       ///< not yet announced to the peers
+  TimePoint m_LastAnnounced{}; ///< last announcement to the peers
 
   std::vector<std::uint16_t> m_Rank; ///< of this instance, for each chunk
-  /// By data centre: the importers of each chunk in their order. Empty: no one
-  /// waits.
+  /// The importers of each chunk by data centre, in rank order. Empty: every
+  /// instance imports without delay.
   std::map<DataCentreId, std::vector<std::vector<InstanceId>>> m_Importers;
-  std::vector<TimePoint> m_SeenSince; ///< it was first known
+  std::vector<TimePoint> m_SeenSince; ///< when each chunk was first seen
   std::uint32_t m_Instances = 1;
-  std::vector<TimePoint> m_Open;   ///< when a chunk's reading became due
-  std::vector<TimePoint> m_Unheld; ///< since when seen, but with no known peer
-  std::uint32_t m_Opened = 0;      ///< chunks below this are due
+  std::vector<TimePoint> m_DueAt;  ///< when each chunk became due for reading
+  std::vector<TimePoint> m_Unheld; ///< since when no known peer holds it
+  std::uint32_t m_DueCount = 0;    ///< chunks below this number are due
   std::set<std::uint32_t> m_Reading;
-  TimePoint m_OriginRestUntil{};
-  Duration m_OriginRests{}; ///< how long, after the last failure
+  TimePoint m_OriginBackoffUntil{};
+  Duration m_CurrentOriginBackoff{}; ///< length after the last failure
   std::map<std::uint32_t, CorruptRead> m_CorruptReads;
-  Duration m_SeenDelay{}; ///< moving mean from due to seen
-  TimePoint m_LastGain{};
-  TimePoint m_BeganAt{};     ///< to look at what the origin is asked for
-  TimePoint m_PeersGaveAt{}; ///< the last bytes from any, or the start
+  Duration m_SeenDelay{}; ///< moving average from due to seen
+  TimePoint m_LastChunkAt{};
+  TimePoint m_StartedAt{};        ///< first check for chunks to read
+  TimePoint m_LastPeerProgress{}; ///< last bytes from any peer, or the start
   TimePoint m_AskedPeers{};
-  TimePoint m_LonelySince{}; ///< the last time with a peer
+  TimePoint m_LastPeerAt{}; ///< last tick with a connected peer, or the first
   std::uint32_t m_ExtraReads = 0;
-  Duration m_ChunkTime{}; ///< moving mean from asked to arrived
-  double m_Room = 0;      ///< chunks that may be expected from peers at once
+  Duration m_ChunkTime{};    ///< moving average from request to arrival
+  double m_RequestLimit = 0; ///< chunks that may be requested from peers
   SwarmCounters m_Counters;
 };
 
--- a/src/kernel/swarm-origin.cc
+++ b/src/kernel/swarm-origin.cc
@@ -1,4 +1,5 @@
-// The part of a swarm that decides what is read from the origin, and by whom.
+// Decides which chunks an instance of a swarm reads from the origin and imports
+// from other data centres.
 #include "deckpitch/swarm.h"
 
 #include <xxhash.h>
@@ -11,45 +12,48 @@
 
 namespace {
 
-constexpr std::uint32_t MaxRank = 8; ///< waits do not grow beyond it
-constexpr int DelayPatience = 4;     ///< times the usual delay
-constexpr int UnheldSteps = 6;       ///< until a chunk nobody known has is read
-constexpr std::size_t MostImporters = 4; ///< of one chunk in a data centre
-constexpr int MaxSteps = 4; ///< delays of faults must not stretch the waits
-/// Of the origin's link that a window fills: longer than it takes until a pool
-/// has heard which chunks have come.
+constexpr std::uint32_t MaxRank =
+    8;                         ///< higher ranks wait no longer than this one
+constexpr int DelayFactor = 4; ///< multiple of the average delay
+constexpr int UnheldSteps = 6; ///< before a chunk without known holder is read
+constexpr std::size_t MaxImporters =
+    4; ///< ranked importers of a chunk in a data centre
+constexpr int MaxSteps =
+    4; ///< bounds the delay while faults inflate the average
+/// Transfer time of a window over the origin's link: longer than announcements
+/// take to reach the whole pool.
 constexpr double WindowMs = 600;
-/// Of the time that a window takes at the origin: more for a chunk that is read
-/// over a narrow link.
+/// Step as a multiple of the window's transfer time, with a margin for readers
+/// on slow links.
 constexpr double StepWindows = 2;
-constexpr double LeastStepMs = 1'200;
-/// Enough to keep a link of some Mbit/s busy, where its rate is not known.
-constexpr std::uint32_t MostWindow = 32;
-constexpr std::uint32_t LeastWindow = 4;
-/// Over a link that is declared to be next to nothing.
-constexpr double LongestChunkMs = 60'000;
-/// What that many chunks take over 15 Mbit/s.
-constexpr Duration UnknownStep = std::chrono::milliseconds(800);
+constexpr double MinStepMs = 1'200;
+/// Enough to saturate a link of some Mbit/s whose bandwidth is unknown.
+constexpr std::uint32_t MaxWindow = 32;
+constexpr std::uint32_t MinWindow = 4;
+/// Upper bound for links that are declared with almost no bandwidth.
+constexpr double MaxChunkMs = 60'000;
+/// Transfer time of MaxWindow chunks over 15 Mbit/s.
+constexpr Duration DefaultStep = std::chrono::milliseconds(800);
 
 std::uint64_t hashOf(const InstanceId &Id) {
   return XXH3_64bits(Id.m_Text.data(), Id.m_Text.size());
 }
 
-/// An instance's place in a chunk's rendezvous order grows with this.
+/// Rendezvous hash: the instance with the highest score is first for the chunk.
 std::uint64_t score(std::uint64_t Instance, std::uint64_t Chunk) {
   std::uint64_t Mixed = Instance ^ (Chunk + 1) * 0x9e3779b97f4a7c15ULL;
   Mixed = (Mixed ^ Mixed >> 32) * 0xd6e8feb86659fd93ULL;
   return Mixed ^ Mixed >> 32;
 }
 
-/// The first instances of a chunk's rendezvous order.
+/// The first instances in a chunk's rendezvous order.
 std::vector<InstanceId> firstInOrder(const std::vector<InstanceId> &Of,
                                      std::uint32_t Chunk) {
   std::vector<std::pair<std::uint64_t, InstanceId>> Scored;
   Scored.reserve(Of.size());
   for (const InstanceId &Each : Of)
     Scored.emplace_back(score(hashOf(Each), Chunk), Each);
-  const std::size_t Count = std::min(MostImporters, Scored.size());
+  const std::size_t Count = std::min(MaxImporters, Scored.size());
   std::partial_sort(Scored.begin(),
                     Scored.begin() + static_cast<std::ptrdiff_t>(Count),
                     Scored.end(), std::greater<>());
@@ -64,17 +68,17 @@
 OriginPacing originPacing(double Mbps, std::uint32_t ChunkBytes) {
   const bool IsKnown = Mbps > 0 && ChunkBytes > 0;
   if (!IsKnown)
-    return {MostWindow, UnknownStep, Duration::zero()};
+    return {MaxWindow, DefaultStep, Duration::zero()};
   constexpr double BytesPerMsOfMbps = 1'000.0 / 8;
   const double ChunkMs =
-      std::min(ChunkBytes / (Mbps * BytesPerMsOfMbps), LongestChunkMs);
+      std::min(ChunkBytes / (Mbps * BytesPerMsOfMbps), MaxChunkMs);
   const double Window =
-      std::clamp<double>(WindowMs / ChunkMs, LeastWindow, MostWindow);
+      std::clamp<double>(WindowMs / ChunkMs, MinWindow, MaxWindow);
   const auto Length = [](double Ms) {
     return std::chrono::ceil<Duration>(
         std::chrono::duration<double, std::milli>(Ms));
   };
-  const double StepMs = std::max(LeastStepMs, StepWindows * Window * ChunkMs);
+  const double StepMs = std::max(MinStepMs, StepWindows * Window * ChunkMs);
   return {static_cast<std::uint32_t>(Window), Length(StepMs), Length(ChunkMs)};
 }
 
@@ -134,38 +138,41 @@
 }
 
 Duration Swarm::originStep() const {
-  return std::clamp(DelayPatience * m_SeenDelay, m_Options.m_OriginStep,
+  return std::clamp(DelayFactor * m_SeenDelay, m_Options.m_OriginStep,
                     MaxSteps * m_Options.m_OriginStep);
 }
 
 bool Swarm::starved(TimePoint Now) const {
-  return !complete() && m_Taken.count() == 0 && Now - m_LastGain > originStep();
+  return !complete() && m_Taken.count() == 0 &&
+         Now - m_LastChunkAt > originStep();
 }
 
-/// Chunks that have left the origin, as far as is known or reckoned.
-std::uint32_t Swarm::goneFromOrigin(TimePoint Now) const {
+/// Number of chunks that have been read from the origin: those seen or, if
+/// more, those that its link can have carried since the start.
+std::uint32_t Swarm::countReadFromOrigin(TimePoint Now) const {
   const std::uint32_t Seen = m_Seen.count();
   if (m_Options.m_OriginPace <= Duration::zero())
     return Seen;
-  const auto Reckoned = static_cast<std::uint32_t>(std::min<Duration::rep>(
-      (Now - m_BeganAt) / m_Options.m_OriginPace, m_Here.size()));
-  return std::max(Seen, Reckoned);
+  const auto Estimated = static_cast<std::uint32_t>(std::min<Duration::rep>(
+      (Now - m_StartedAt) / m_Options.m_OriginPace, m_Here.size()));
+  return std::max(Seen, Estimated);
 }
 
-void Swarm::openWindow(TimePoint Now) {
-  if (m_LastGain == TimePoint{})
-    m_LastGain = Now;
-  if (m_PeersGaveAt == TimePoint{})
-    m_PeersGaveAt = Now;
-  if (m_BeganAt == TimePoint{})
-    m_BeganAt = Now;
-  const std::uint32_t End =
-      std::min(m_Here.size(), goneFromOrigin(Now) + m_Options.m_OriginWindow);
-  for (; m_Opened < End; ++m_Opened)
-    m_Open[m_Opened] = Now;
+void Swarm::advanceWindow(TimePoint Now) {
+  if (m_LastChunkAt == TimePoint{})
+    m_LastChunkAt = Now;
+  if (m_LastPeerProgress == TimePoint{})
+    m_LastPeerProgress = Now;
+  if (m_StartedAt == TimePoint{})
+    m_StartedAt = Now;
+  const std::uint32_t End = std::min(
+      m_Here.size(), countReadFromOrigin(Now) + m_Options.m_OriginWindow);
+  for (; m_DueCount < End; ++m_DueCount)
+    m_DueAt[m_DueCount] = Now;
 }
 
-/// A chunk may be told to be seen by one that lies, or be lost with its holder.
+/// Whether no known peer has held the chunk for longer than Length. A chunk may
+/// have been announced as seen in error, or been lost with its holder.
 bool Swarm::unheldFor(std::uint32_t Chunk, Duration Length, TimePoint Now) {
   TimePoint &Since = m_Unheld[Chunk];
   if (m_Copies[Chunk] > 0)
@@ -185,38 +192,40 @@
 }
 
 bool Swarm::mayRead(std::uint32_t Chunk, TimePoint Now) {
-  if (wants(Chunk) && !rests(Chunk, Now) && waitsForSoleHolder(Chunk, Now))
+  if (wants(Chunk) && !isBackingOff(Chunk, Now) &&
+      waitsForSoleHolder(Chunk, Now))
     return true;
-  if (!wants(Chunk) || m_Taken.contains(Chunk) || rests(Chunk, Now))
+  if (!wants(Chunk) || m_Taken.contains(Chunk) || isBackingOff(Chunk, Now))
     return false;
   const Duration Wait =
       std::min<std::uint32_t>(m_Rank[Chunk], MaxRank) * originStep();
   if (!m_Seen.contains(Chunk))
-    return Now - m_Open[Chunk] >= Wait;
-  // Without any peer it is of no use that others have it.
-  if (m_Peers.empty() && Now - m_LonelySince > 2 * originStep() + Wait)
+    return Now - m_DueAt[Chunk] >= Wait;
+  // Without a connected peer the copies of others cannot be reached.
+  if (m_Peers.empty() && Now - m_LastPeerAt > 2 * originStep() + Wait)
     return true;
-  const Duration Patience = UnheldSteps * m_Options.m_OriginStep + Wait;
-  if (unheldFor(Chunk, Patience, Now))
+  const Duration Timeout = UnheldSteps * m_Options.m_OriginStep + Wait;
+  if (unheldFor(Chunk, Timeout, Now))
     return true;
-  // Each holder may have its reason to offer nothing: that must not last.
-  if (Now - m_PeersGaveAt > Patience)
+  // Holders may decline to offer the chunk for reasons of their own; bound the
+  // wait.
+  if (Now - m_LastPeerProgress > Timeout)
     return true;
-  // Everyone known that had it is gone.
+  // All known holders are gone.
   return m_Copies[Chunk] == 0 && starved(Now) &&
-         Now - m_LastGain > originStep() + Wait / 2;
+         Now - m_LastChunkAt > originStep() + Wait / 2;
 }
 
-bool Swarm::rests(std::uint32_t Chunk, TimePoint Now) const {
+bool Swarm::isBackingOff(std::uint32_t Chunk, TimePoint Now) const {
   const auto Found = m_CorruptReads.find(Chunk);
   return Found != m_CorruptReads.end() && Now < Found->second.m_Until;
 }
 
-void Swarm::restChunk(std::uint32_t Chunk, TimePoint Now) {
+void Swarm::backOffChunk(std::uint32_t Chunk, TimePoint Now) {
   CorruptRead &Record = m_CorruptReads[Chunk];
-  Record.m_Rest = std::clamp(2 * Record.m_Rest, m_Options.m_OriginRest,
-                             m_Options.m_CorruptRestMost);
-  Record.m_Until = Now + Record.m_Rest;
+  Record.m_Backoff = std::clamp(2 * Record.m_Backoff, m_Options.m_OriginRest,
+                                m_Options.m_MaxCorruptBackoff);
+  Record.m_Until = Now + Record.m_Backoff;
 }
 
 void Swarm::startRead(std::uint32_t Chunk, SwarmActions &Out) {
@@ -228,33 +237,34 @@
 void Swarm::readOrigin(SwarmActions &Out, TimePoint Now) {
   if (complete())
     return;
-  openWindow(Now);
-  if (Now < m_OriginRestUntil || m_Unstaged.count() >= m_Options.m_Unstaged)
+  advanceWindow(Now);
+  if (Now < m_OriginBackoffUntil || m_Unstaged.count() >= m_Options.m_Unstaged)
     return;
-  for (std::uint32_t Chunk = 0; Chunk < m_Opened; ++Chunk) {
+  for (std::uint32_t Chunk = 0; Chunk < m_DueCount; ++Chunk) {
     if (m_Reading.size() >= m_Options.m_OriginReads)
       return;
     if (mayRead(Chunk, Now))
       startRead(Chunk, Out);
   }
-  readForTime(Out, Now);
+  readExtraCopy(Out, Now);
 }
 
-/// With nothing on the way, a pool that prefers time reads some chunks again.
-void Swarm::readForTime(SwarmActions &Out, TimePoint Now) {
+/// Reads a chunk that others hold already if nothing is in flight and the pool
+/// prefers time over origin bytes.
+void Swarm::readExtraCopy(SwarmActions &Out, TimePoint Now) {
   if (m_Options.m_Preference != Preference::Time || m_Taken.count() > 0)
     return;
   const double Share = m_Options.m_ExtraCopies / m_Instances;
   const double Budget = Share * static_cast<double>(m_Here.size());
-  if (m_ExtraReads >= Budget || m_Opened < m_Here.size())
+  if (m_ExtraReads >= Budget || m_DueCount < m_Here.size())
     return;
   const auto Start = static_cast<std::uint32_t>(m_Random()) % m_Here.size();
   for (std::uint32_t I = 0; I < m_Here.size(); ++I) {
     const std::uint32_t Chunk = (Start + I) % m_Here.size();
-    if (!wants(Chunk) || rests(Chunk, Now))
+    if (!wants(Chunk) || isBackingOff(Chunk, Now))
       continue;
     ++m_ExtraReads;
-    m_LastGain = Now;
+    m_LastChunkAt = Now;
     return startRead(Chunk, Out);
   }
 }
@@ -267,9 +277,9 @@
   if (How == OriginOutcome::Good && wants(Chunk)) {
     m_Unstaged.insert(Chunk);
     m_CorruptReads.erase(Chunk);
-    m_OriginRests = {};
+    m_CurrentOriginBackoff = {};
     ++m_Counters.m_FromOrigin;
-    m_LastGain = Now;
+    m_LastChunkAt = Now;
     markSeen(Chunk, Now);
     readOrigin(Out, Now);
     return Out;
@@ -280,15 +290,16 @@
     return Out;
   }
   if (How == OriginOutcome::Corrupt) {
-    // The others may be sound; only this one has to wait.
+    // Other chunks may be intact, so only this one backs off.
     ++m_Counters.m_Corrupt;
-    restChunk(Chunk, Now);
+    backOffChunk(Chunk, Now);
     readOrigin(Out, Now);
     return Out;
   }
-  m_OriginRests = std::clamp(2 * m_OriginRests, m_Options.m_OriginRest,
-                             m_Options.m_OriginRestMost);
-  m_OriginRestUntil = Now + m_OriginRests;
+  m_CurrentOriginBackoff =
+      std::clamp(2 * m_CurrentOriginBackoff, m_Options.m_OriginRest,
+                 m_Options.m_MaxOriginBackoff);
+  m_OriginBackoffUntil = Now + m_CurrentOriginBackoff;
   return Out;
 }
 
--- a/src/kernel/swarm-wait.cc
+++ b/src/kernel/swarm-wait.cc
@@ -1,4 +1,4 @@
-// What a swarm waits for, told to those who read its log.
+// Describes what a stuck copy waits for, for the log.
 #include "deckpitch/swarm.h"
 
 #include <algorithm>
@@ -11,12 +11,12 @@
   while (m_Here.contains(Out.m_Chunk))
     ++Out.m_Chunk;
   Out.m_Reading = static_cast<std::uint32_t>(m_Reading.size());
-  Out.m_OriginRest = std::max(m_OriginRestUntil - Now, Duration::zero());
-  Out.m_SinceGain = Now - m_LastGain;
+  Out.m_OriginRest = std::max(m_OriginBackoffUntil - Now, Duration::zero());
+  Out.m_SinceGain = Now - m_LastChunkAt;
   for (const auto &[Number, Each] : m_Peers) {
     const bool IsHolder = Each.m_Has.contains(Out.m_Chunk);
-    ++(Each.m_IsNear ? Out.m_Near : Out.m_Far);
-    (Each.m_IsNear ? Out.m_NearHolders : Out.m_FarHolders) += IsHolder;
+    ++(Each.m_IsLocal ? Out.m_Near : Out.m_Far);
+    (Each.m_IsLocal ? Out.m_NearHolders : Out.m_FarHolders) += IsHolder;
     for (const Transfer &Open : Each.m_Expected) {
       ++Out.m_Asked;
       if (Now - Open.m_Asked < Out.m_AskedFor)
--- a/src/kernel/swarm.cc
+++ b/src/kernel/swarm.cc
@@ -8,20 +8,21 @@
 
 namespace {
 
-constexpr std::uint32_t FailuresUntilLong = 2;
-constexpr int HedgePatience = 3; ///< times the usual time of a chunk
-constexpr Duration HedgeLeast = std::chrono::milliseconds(200);
-constexpr int MeanShare = 8; ///< weight of the past in moving means
-/// Chunks asked for at once before anything is known of the link: all at once
-/// they lay before requests for 3 s on a link of 1.2 Mbit/s.
-constexpr double FirstRoom = 2;
-/// For each chunk that came in time: some ten of them make room for one more.
-constexpr double RoomGrowth = 0.1;
-/// For each that came in a fraction of that time.
-constexpr double FastRoomGrowth = 1;
-constexpr int FastPart = 4;
-
-/// Spreads numbers, so that ties are broken apart at each choice.
+constexpr std::uint32_t FailuresUntilLongQuarantine = 2;
+constexpr int HedgeDelayFactor = 3; ///< multiple of the average chunk time
+constexpr Duration MinHedgeDelay = std::chrono::milliseconds(200);
+constexpr int AverageDivisor =
+    8; ///< moving averages weigh a new value with 1/8
+/// Initial limit, while nothing is known of the link: the full number of chunks
+/// delayed inference requests by 3 s on a link of 1.2 Mbit/s.
+constexpr double InitialRequestLimit = 2;
+/// Growth per chunk that arrived in time: ten of them allow one more request.
+constexpr double RequestLimitGrowth = 0.1;
+/// Growth per chunk that arrived in 1/FastDivisor of the target time.
+constexpr double FastRequestLimitGrowth = 1;
+constexpr int FastDivisor = 4;
+
+/// Hashes a number with a salt, so that each choice breaks ties differently.
 std::uint32_t scatter(std::uint32_t Value, std::uint32_t Salt) {
   std::uint32_t Mixed = (Value ^ Salt) * 0x9e3779b1U;
   Mixed ^= Mixed >> 15;
@@ -35,10 +36,10 @@
     : m_Self(std::move(Self)), m_DataCentre(std::move(DataCentre)),
       m_Options(Options), m_Random(static_cast<std::uint32_t>(Seed | 1)),
       m_Here(Chunks), m_Unstaged(Chunks), m_Taken(Chunks), m_Seen(Chunks),
-      m_Copies(Chunks), m_Rank(Chunks), m_SeenSince(Chunks), m_Open(Chunks),
-      m_Unheld(Chunks), m_Room(Options.m_Expected) {
+      m_Copies(Chunks), m_Rank(Chunks), m_SeenSince(Chunks), m_DueAt(Chunks),
+      m_Unheld(Chunks), m_RequestLimit(Options.m_Expected) {
   if (Options.m_ChunkPatience != Duration::zero())
-    m_Room = std::min(m_Room, FirstRoom);
+    m_RequestLimit = std::min(m_RequestLimit, InitialRequestLimit);
 }
 
 Swarm::Peer *Swarm::find(PeerNumber Number) {
@@ -46,10 +47,10 @@
   return Found == m_Peers.end() ? nullptr : &Found->second;
 }
 
-Swarm::Peer *Swarm::hear(PeerNumber Number, TimePoint Now) {
+Swarm::Peer *Swarm::findAndTouch(PeerNumber Number, TimePoint Now) {
   Peer *From = find(Number);
   if (From)
-    From->m_Heard = Now;
+    From->m_LastMessageAt = Now;
   return From;
 }
 
@@ -72,11 +73,11 @@
   if (m_Here.contains(Chunk))
     return {};
   insertHere(Chunk, Now);
-  // Peers that called while staging is read were greeted without it.
+  // Peers that connected while staging was read have not been told of it.
   if (m_Peers.empty())
     return {};
-  m_Told = Now;
-  return {SendHave{{Chunk}, std::exchange(m_FreshSeen, {})}};
+  m_LastAnnounced = Now;
+  return {SendHave{{Chunk}, std::exchange(m_UnannouncedSeen, {})}};
 }
 
 SwarmActions Swarm::onPeerJoined(PeerNumber Number, InstanceId Id,
@@ -90,9 +91,9 @@
   forget(Number);
   Peer &Added = m_Peers[Number];
   Added.m_Id = std::move(Id);
-  Added.m_IsNear = DataCentre == m_DataCentre;
+  Added.m_IsLocal = DataCentre == m_DataCentre;
   Added.m_DataCentre = std::move(DataCentre);
-  Added.m_Heard = Now;
+  Added.m_LastMessageAt = Now;
   Added.m_Has = ChunkSet(m_Here.size());
   Added.m_Useful = m_Here.count();
   Has.forEach([&](std::uint32_t Chunk) { markHas(Added, Chunk, Now); });
@@ -132,9 +133,9 @@
   if (!Of.m_Has.insert(Chunk))
     return;
   ++m_Copies[Chunk];
-  auto &Near = m_CopiesIn[Of.m_DataCentre];
-  Near.resize(m_Here.size());
-  ++Near[Chunk];
+  auto &Copies = m_CopiesIn[Of.m_DataCentre];
+  Copies.resize(m_Here.size());
+  ++Copies[Chunk];
   if (m_Here.contains(Chunk))
     --Of.m_Useful;
 }
@@ -143,10 +144,10 @@
   if (!m_Seen.insert(Chunk))
     return;
   m_SeenSince[Chunk] = Now;
-  m_FreshSeen.push_back(Chunk);
-  if (Chunk < m_Opened) {
-    const Duration Took = Now - m_Open[Chunk];
-    m_SeenDelay += (Took - m_SeenDelay) / MeanShare;
+  m_UnannouncedSeen.push_back(Chunk);
+  if (Chunk < m_DueCount) {
+    const Duration Took = Now - m_DueAt[Chunk];
+    m_SeenDelay += (Took - m_SeenDelay) / AverageDivisor;
   }
 }
 
@@ -163,7 +164,7 @@
                            const std::vector<std::uint32_t> &Seen,
                            TimePoint Now) {
   SwarmActions Out;
-  Peer *From = hear(Number, Now);
+  Peer *From = findAndTouch(Number, Now);
   if (!From)
     return Out;
   for (std::uint32_t Chunk : Here)
@@ -171,7 +172,7 @@
   for (std::uint32_t Chunk : Seen)
     markSeen(Chunk, Now);
   if (!Here.empty())
-    From->m_RestUntil = Now;
+    From->m_NoGrantUntil = Now;
   grant(Out, Now);
   return Out;
 }
@@ -190,11 +191,11 @@
   return Found == m_CopiesIn.end() ? 0 : Found->second[Chunk];
 }
 
-/// Whether the peer likely takes something that is here: a far one declines
-/// what it is not to import, and an offer that is declined leaves the link idle
-/// for a round trip.
+/// Whether the peer is likely to accept a chunk held here. A remote peer
+/// declines chunks that it does not import, and a declined grant leaves the
+/// link idle for a round trip.
 bool Swarm::isUsefulTo(const Peer &To, TimePoint Now) const {
-  if (To.m_Useful == 0 || To.m_IsNear || m_Importers.empty())
+  if (To.m_Useful == 0 || To.m_IsLocal || m_Importers.empty())
     return To.m_Useful > 0;
   for (std::uint32_t Chunk = 0; Chunk < m_Here.size(); ++Chunk)
     if (m_Here.contains(Chunk) && !To.m_Has.contains(Chunk) &&
@@ -204,12 +205,12 @@
   return false;
 }
 
-Swarm::Peer *Swarm::neediest(TimePoint Now, PeerNumber &Number) {
+Swarm::Peer *Swarm::selectGrantee(TimePoint Now, PeerNumber &Number) {
   Peer *Best = nullptr;
   std::pair<std::size_t, std::uint64_t> Least{};
   const auto Salt = static_cast<std::uint32_t>(m_Random());
   for (auto &[Candidate, Each] : m_Peers) {
-    if (Each.m_Granted || Now < Each.m_RestUntil || !isUsefulTo(Each, Now))
+    if (Each.m_Granted || Now < Each.m_NoGrantUntil || !isUsefulTo(Each, Now))
       continue;
     const std::uint64_t Order =
         std::uint64_t{Each.m_Has.count()} << 32 | scatter(Candidate, Salt);
@@ -226,7 +227,7 @@
 void Swarm::grant(SwarmActions &Out, TimePoint Now) {
   for (std::uint32_t Busy = uploads(); Busy < m_Options.m_Uploads; ++Busy) {
     PeerNumber Number = 0;
-    Peer *To = neediest(Now, Number);
+    Peer *To = selectGrantee(Now, Number);
     if (!To)
       return;
     To->m_Granted = Now;
@@ -234,44 +235,46 @@
   }
 }
 
-bool Swarm::hasRoom() const {
+bool Swarm::mayRequest() const {
   const std::uint32_t Unstaged = m_Unstaged.count();
   const auto Reading = static_cast<std::uint32_t>(m_Reading.size());
   const std::uint32_t Expected = m_Taken.count() - Unstaged - Reading;
-  return Expected < static_cast<std::uint32_t>(m_Room) &&
+  return Expected < static_cast<std::uint32_t>(m_RequestLimit) &&
          Unstaged < m_Options.m_Unstaged;
 }
 
-/// Shrinks at once in proportion, and grows again slowly.
-void Swarm::adaptRoom(Duration ChunkTook) {
-  const Duration Patience = m_Options.m_ChunkPatience;
-  if (Patience == Duration::zero())
+/// Shrinks the limit in proportion to the excess time and grows it slowly.
+void Swarm::adaptRequestLimit(Duration ChunkTook) {
+  const Duration Timeout = m_Options.m_ChunkPatience;
+  if (Timeout == Duration::zero())
     return;
   const double Most = m_Options.m_Expected;
-  if (ChunkTook > Patience)
-    m_Room *= static_cast<double>(Patience.count()) /
-              static_cast<double>(ChunkTook.count());
+  if (ChunkTook > Timeout)
+    m_RequestLimit *= static_cast<double>(Timeout.count()) /
+                      static_cast<double>(ChunkTook.count());
   else
-    m_Room += ChunkTook < Patience / FastPart ? FastRoomGrowth : RoomGrowth;
-  m_Room = std::clamp(m_Room, 1.0, Most);
+    m_RequestLimit += ChunkTook < Timeout / FastDivisor ? FastRequestLimitGrowth
+                                                        : RequestLimitGrowth;
+  m_RequestLimit = std::clamp(m_RequestLimit, 1.0, Most);
 }
 
 LinkVerdict Swarm::linkVerdict() const {
   if (m_ChunkTime == Duration::zero())
     return LinkVerdict::Unknown;
-  if (m_Room * 2 >= m_Options.m_Expected)
+  if (m_RequestLimit * 2 >= m_Options.m_Expected)
     return LinkVerdict::Sound;
-  return m_Room < FirstRoom ? LinkVerdict::Narrow : LinkVerdict::Unknown;
+  return m_RequestLimit < InitialRequestLimit ? LinkVerdict::Narrow
+                                              : LinkVerdict::Unknown;
 }
 
 std::optional<std::uint32_t> Swarm::choose(const Peer &From, TimePoint Now) {
-  const bool AnyWill = From.m_IsNear || starved(Now);
+  const bool AcceptsAny = From.m_IsLocal || starved(Now);
   const auto Salt = static_cast<std::uint32_t>(m_Random());
   std::uint64_t Least = std::numeric_limits<std::uint64_t>::max();
   std::optional<std::uint32_t> Best;
   From.m_Has.forEachNotIn(m_Here, m_Taken, [&](std::uint32_t Chunk) {
-    if (!AnyWill && (copiesIn(m_DataCentre, Chunk) > 0 ||
-                     !mayImport(m_Self, m_DataCentre, Chunk, Now)))
+    if (!AcceptsAny && (copiesIn(m_DataCentre, Chunk) > 0 ||
+                        !mayImport(m_Self, m_DataCentre, Chunk, Now)))
       return;
     const std::uint64_t Order =
         std::uint64_t{m_Copies[Chunk]} << 32 | scatter(Chunk, Salt);
@@ -283,31 +286,32 @@
   return Best;
 }
 
-/// A chunk that another peer is unusually slow to send.
+/// Chooses a chunk that another peer is unusually slow to send.
 std::optional<std::uint32_t> Swarm::chooseHedge(const Peer &From,
                                                 TimePoint Now) const {
   const auto Budget = static_cast<std::uint64_t>(
       1 + m_Options.m_HedgeShare * static_cast<double>(m_Here.size()));
   if (m_Counters.m_Hedges >= Budget)
     return std::nullopt;
-  const Duration Patience = std::max(HedgeLeast, HedgePatience * m_ChunkTime);
+  const Duration Timeout =
+      std::max(MinHedgeDelay, HedgeDelayFactor * m_ChunkTime);
   for (const auto &[Number, Each] : m_Peers)
     for (const Transfer &Slow : Each.m_Expected)
       if (&Each != &From && From.m_Has.contains(Slow.m_Chunk) &&
-          wants(Slow.m_Chunk) && Now - Slow.m_Asked > Patience)
+          wants(Slow.m_Chunk) && Now - Slow.m_Asked > Timeout)
         return Slow.m_Chunk;
   return std::nullopt;
 }
 
 SwarmActions Swarm::onGrant(PeerNumber Number, TimePoint Now) {
   SwarmActions Out;
-  Peer *From = hear(Number, Now);
+  Peer *From = findAndTouch(Number, Now);
   if (!From)
     return Out;
   std::optional<std::uint32_t> Chosen;
-  if (hasRoom())
+  if (mayRequest())
     Chosen = choose(*From, Now);
-  if (!Chosen && hasRoom() && !complete()) {
+  if (!Chosen && mayRequest() && !complete()) {
     Chosen = chooseHedge(*From, Now);
     m_Counters.m_Hedges += Chosen.has_value();
   }
@@ -323,11 +327,11 @@
 
 SwarmActions Swarm::onDecline(PeerNumber Number, TimePoint Now) {
   SwarmActions Out;
-  Peer *From = hear(Number, Now);
+  Peer *From = findAndTouch(Number, Now);
   if (!From)
     return Out;
   From->m_Granted.reset();
-  From->m_RestUntil = Now + m_Options.m_DeclineRest;
+  From->m_NoGrantUntil = Now + m_Options.m_DeclineRest;
   grant(Out, Now);
   return Out;
 }
@@ -335,7 +339,7 @@
 SwarmActions Swarm::onRequest(PeerNumber Number, std::uint32_t Chunk,
                               TimePoint Now) {
   SwarmActions Out;
-  Peer *From = hear(Number, Now);
+  Peer *From = findAndTouch(Number, Now);
   if (!From)
     return Out;
   const bool Granted = From->m_Granted.has_value();
@@ -371,7 +375,7 @@
 
 SwarmActions Swarm::onRefusal(PeerNumber Number, std::uint32_t Chunk,
                               TimePoint Now) {
-  Peer *From = hear(Number, Now);
+  Peer *From = findAndTouch(Number, Now);
   if (!From)
     return {};
   std::erase_if(From->m_Expected,
@@ -381,32 +385,32 @@
 }
 
 void Swarm::onProgress(PeerNumber Number, std::uint32_t Chunk, TimePoint Now) {
-  Peer *From = hear(Number, Now);
+  Peer *From = findAndTouch(Number, Now);
   if (!From)
     return;
   for (Transfer &Each : From->m_Expected)
     if (Each.m_Chunk == Chunk)
-      Each.m_Progress = m_PeersGaveAt = Now;
+      Each.m_Progress = m_LastPeerProgress = Now;
 }
 
 SwarmActions Swarm::onArrived(PeerNumber Number, std::uint32_t Chunk,
                               bool Verified, TimePoint Now) {
   SwarmActions Out;
-  Peer *From = hear(Number, Now);
+  Peer *From = findAndTouch(Number, Now);
   if (!From || Chunk >= m_Here.size())
     return Out;
-  const bool IsNear = From->m_IsNear;
+  const bool IsLocal = From->m_IsLocal;
   for (const Transfer &Each : From->m_Expected)
     if (Each.m_Chunk == Chunk) {
-      m_ChunkTime += (Now - Each.m_Asked - m_ChunkTime) / MeanShare;
-      adaptRoom(Now - Each.m_Asked);
+      m_ChunkTime += (Now - Each.m_Asked - m_ChunkTime) / AverageDivisor;
+      adaptRequestLimit(Now - Each.m_Asked);
     }
   std::erase_if(From->m_Expected,
                 [&](const Transfer &Each) { return Each.m_Chunk == Chunk; });
   if (!Verified) {
     ++m_Counters.m_Corrupt;
     release(Chunk);
-    drop(Number, punish(From->m_Id, Now), Out);
+    drop(Number, quarantine(From->m_Id, Now), Out);
     return Out;
   }
   if (!wants(Chunk)) {
@@ -417,16 +421,16 @@
   m_Unstaged.insert(Chunk);
   m_Taken.insert(Chunk);
   ++m_Counters.m_FromPeers;
-  m_Counters.m_Crossings += !IsNear;
-  m_LastGain = m_PeersGaveAt = Now;
+  m_Counters.m_Crossings += !IsLocal;
+  m_LastChunkAt = m_LastPeerProgress = Now;
   return Out;
 }
 
-TimePoint Swarm::punish(const InstanceId &Id, TimePoint Now) {
+TimePoint Swarm::quarantine(const InstanceId &Id, TimePoint Now) {
   Failure &Record = m_Failures[Id];
-  const bool Again = ++Record.m_Count >= FailuresUntilLong;
+  const bool Again = ++Record.m_Count >= FailuresUntilLongQuarantine;
   Record.m_Until =
-      Now + (Again ? m_Options.m_SetAsideLong : m_Options.m_SetAside);
+      Now + (Again ? m_Options.m_LongQuarantine : m_Options.m_Quarantine);
   return Record.m_Until;
 }
 
@@ -438,8 +442,8 @@
   if (!Stored)
     return Out;
   insertHere(Chunk, Now);
-  m_Told = Now;
-  Out.push_back(SendHave{{Chunk}, std::exchange(m_FreshSeen, {})});
+  m_LastAnnounced = Now;
+  Out.push_back(SendHave{{Chunk}, std::exchange(m_UnannouncedSeen, {})});
   grant(Out, Now);
   readOrigin(Out, Now);
   return Out;
@@ -450,16 +454,17 @@
     if (!Each.m_Granted || Now - *Each.m_Granted < m_Options.m_GrantLifetime)
       continue;
     Each.m_Granted.reset();
-    Each.m_RestUntil = Now + m_Options.m_GrantLifetime;
+    Each.m_NoGrantUntil = Now + m_Options.m_GrantLifetime;
   }
 }
 
-/// A silent peer counts too: the chunks that only it holds would be waited for.
+/// A silent peer counts as stalled too: the copy would otherwise wait for
+/// chunks that only this peer holds.
 bool Swarm::stalled(const Peer &Each, TimePoint Now) const {
-  return Now - Each.m_Heard > m_Options.m_SilentAfter ||
+  return Now - Each.m_LastMessageAt > m_Options.m_SilenceTimeout ||
          std::any_of(Each.m_Expected.begin(), Each.m_Expected.end(),
                      [&](const Transfer &Open) {
-                       return Now - Open.m_Progress > m_Options.m_StallAfter;
+                       return Now - Open.m_Progress > m_Options.m_StallTimeout;
                      });
 }
 
@@ -470,17 +475,18 @@
       Stalled.push_back(Number);
   for (PeerNumber Number : Stalled) {
     ++m_Counters.m_Stalls;
-    m_Failures[m_Peers.at(Number).m_Id].m_Until = Now + m_Options.m_SetAside;
-    drop(Number, Now + m_Options.m_SetAside, Out);
+    m_Failures[m_Peers.at(Number).m_Id].m_Until = Now + m_Options.m_Quarantine;
+    drop(Number, Now + m_Options.m_Quarantine, Out);
   }
 }
 
-void Swarm::tellPeers(SwarmActions &Out, TimePoint Now) {
-  const bool Due = !m_Peers.empty() && Now - m_Told >= m_Options.m_KeepAlive;
-  if (m_FreshSeen.empty() && !Due)
+void Swarm::announceToPeers(SwarmActions &Out, TimePoint Now) {
+  const bool Due =
+      !m_Peers.empty() && Now - m_LastAnnounced >= m_Options.m_KeepAlive;
+  if (m_UnannouncedSeen.empty() && !Due)
     return;
-  m_Told = Now;
-  Out.push_back(SendHave{{}, std::exchange(m_FreshSeen, {})});
+  m_LastAnnounced = Now;
+  Out.push_back(SendHave{{}, std::exchange(m_UnannouncedSeen, {})});
 }
 
 SwarmActions Swarm::onTick(TimePoint Now) {
@@ -489,11 +495,12 @@
   dropStalled(Out, Now);
   grant(Out, Now);
   readOrigin(Out, Now);
-  tellPeers(Out, Now);
-  if (!m_Peers.empty() || m_LonelySince == TimePoint{})
-    m_LonelySince = Now;
-  const bool Lonely = m_Peers.empty() || starved(Now);
-  if (!complete() && Lonely && Now - m_AskedPeers >= m_Options.m_OriginStep) {
+  announceToPeers(Out, Now);
+  if (!m_Peers.empty() || m_LastPeerAt == TimePoint{})
+    m_LastPeerAt = Now;
+  const bool NeedsPeers = m_Peers.empty() || starved(Now);
+  if (!complete() && NeedsPeers &&
+      Now - m_AskedPeers >= m_Options.m_OriginStep) {
     m_AskedPeers = Now;
     Out.push_back(AskForPeers{});
   }
--- a/support/simulation/swarm-simulation.cc
+++ b/support/simulation/swarm-simulation.cc
@@ -42,7 +42,7 @@
                                           m_Options.m_Chunks, m_Options.m_Swarm,
                                           m_Random());
   Fresh.m_Swarm->setInstances(Names);
-  tick(Agent, Fresh.m_Life);
+  tick(Agent, Fresh.m_Incarnation);
 }
 
 void SwarmSimulation::after(Duration Length, std::function<void()> Do) {
@@ -60,18 +60,18 @@
       Chunks * static_cast<double>(m_Options.m_ChunkTime.count())));
 }
 
-TimePoint SwarmSimulation::serve(Server &By, double Chunks) {
+TimePoint SwarmSimulation::transmit(LinkQueue &By, double Chunks) {
   By.m_FreeAt = std::max(By.m_FreeAt, m_Now) + scaled(Chunks * By.m_Slowness);
   return By.m_FreeAt;
 }
 
-SwarmSimulation::Server &SwarmSimulation::down(std::uint32_t Agent) {
+SwarmSimulation::LinkQueue &SwarmSimulation::down(std::uint32_t Agent) {
   Node &Value = m_Nodes[Agent];
   return m_Options.m_SharedLinks ? Value.m_Up : Value.m_Down;
 }
 
 void SwarmSimulation::link(std::uint32_t A, std::uint32_t B) {
-  if (A == B || !greets(m_Nodes[A]) || !greets(m_Nodes[B]) ||
+  if (A == B || !isReachable(m_Nodes[A]) || !isReachable(m_Nodes[B]) ||
       m_Nodes[A].m_Linked.contains(B) ||
       m_Nodes[A].m_Swarm->setAside(nameOf(B), m_Now) ||
       m_Nodes[B].m_Swarm->setAside(nameOf(A), m_Now))
@@ -126,7 +126,7 @@
   Node &Gone = m_Nodes[Agent];
   Gone.m_Alive = false;
   Gone.m_Uploads.clear();
-  ++Gone.m_Life;
+  ++Gone.m_Incarnation;
 }
 
 void SwarmSimulation::replace(std::uint32_t Agent) {
@@ -156,13 +156,13 @@
       }));
 }
 
-void SwarmSimulation::tick(std::uint32_t Agent, std::uint32_t Life) {
+void SwarmSimulation::tick(std::uint32_t Agent, std::uint32_t Incarnation) {
   Node &Self = m_Nodes[Agent];
-  if (!Self.m_Alive || Self.m_Life != Life)
+  if (!Self.m_Alive || Self.m_Incarnation != Incarnation)
     return;
   if (!Self.m_Stalled)
     perform(Agent, Self.m_Swarm->onTick(m_Now));
-  after(TickPeriod, [this, Agent, Life] { tick(Agent, Life); });
+  after(TickPeriod, [this, Agent, Incarnation] { tick(Agent, Incarnation); });
 }
 
 void SwarmSimulation::perform(std::uint32_t Agent,
@@ -171,7 +171,7 @@
     std::visit([&](const auto &Action) { perform(Agent, Action); }, Each);
 }
 
-void SwarmSimulation::tell(std::uint32_t From, std::uint32_t To,
+void SwarmSimulation::send(std::uint32_t From, std::uint32_t To,
                            std::function<SwarmActions(Swarm &)> Event) {
   ++m_Messages;
   if (m_Nodes[From].m_Stalled)
@@ -185,30 +185,30 @@
 }
 
 void SwarmSimulation::perform(std::uint32_t Agent, const SendGrant &Action) {
-  tell(Agent, Action.m_Peer,
+  send(Agent, Action.m_Peer,
        [=, this](Swarm &To) { return To.onGrant(Agent, m_Now); });
 }
 
 void SwarmSimulation::perform(std::uint32_t Agent, const SendRequest &Action) {
-  tell(Agent, Action.m_Peer, [=, this](Swarm &To) {
+  send(Agent, Action.m_Peer, [=, this](Swarm &To) {
     return To.onRequest(Agent, Action.m_Chunk, m_Now);
   });
 }
 
 void SwarmSimulation::perform(std::uint32_t Agent, const SendDecline &Action) {
-  tell(Agent, Action.m_Peer,
+  send(Agent, Action.m_Peer,
        [=, this](Swarm &To) { return To.onDecline(Agent, m_Now); });
 }
 
 void SwarmSimulation::perform(std::uint32_t Agent, const SendRefusal &Action) {
-  tell(Agent, Action.m_Peer, [=, this](Swarm &To) {
+  send(Agent, Action.m_Peer, [=, this](Swarm &To) {
     return To.onRefusal(Agent, Action.m_Chunk, m_Now);
   });
 }
 
 void SwarmSimulation::perform(std::uint32_t Agent, const SendHave &Action) {
   for (std::uint32_t Peer : m_Nodes[Agent].m_Linked)
-    tell(Agent, Peer, [=, this](Swarm &To) {
+    send(Agent, Peer, [=, this](Swarm &To) {
       return To.onHave(Agent, Action.m_Here, Action.m_Seen, m_Now);
     });
 }
@@ -221,7 +221,7 @@
 
 void SwarmSimulation::perform(std::uint32_t Agent, const ReadOrigin &Action) {
   auto Read = std::make_shared<Upload>(Upload{Agent, Action.m_Chunk});
-  m_ReadLife[Read.get()] = m_Nodes[Agent].m_Life;
+  m_ReadIncarnation[Read.get()] = m_Nodes[Agent].m_Incarnation;
   m_Reads.push_back(std::move(Read));
   pumpOrigin();
 }
@@ -250,33 +250,35 @@
       continue;
     Sender.m_Sending = true;
     ++Each->m_Sent;
-    const TimePoint Out = serve(Sender.m_Up, 1.0 / Pieces);
-    const std::uint32_t Life = Sender.m_Life;
-    after(Out - m_Now, [this, From, Life, Moved = Each] {
+    const TimePoint Out = transmit(Sender.m_Up, 1.0 / Pieces);
+    const std::uint32_t Incarnation = Sender.m_Incarnation;
+    after(Out - m_Now, [this, From, Incarnation, Moved = Each] {
       Node &Self = m_Nodes[From];
       Self.m_Sending = false;
-      if (Self.m_Life != Life)
+      if (Self.m_Incarnation != Incarnation)
         return pump(From);
       if (Moved->m_Sent == Pieces) {
         std::erase(Self.m_Uploads, Moved);
         perform(From, Self.m_Swarm->onSent(Moved->m_To, Moved->m_Chunk, m_Now));
       }
-      const TimePoint In = serve(down(Moved->m_To), 1.0 / Pieces);
-      after(In - m_Now + m_Options.m_Delay,
-            [this, From, Life, Moved] { pieceArrived(From, Life, Moved); });
+      const TimePoint In = transmit(down(Moved->m_To), 1.0 / Pieces);
+      after(In - m_Now + m_Options.m_Delay, [this, From, Incarnation, Moved] {
+        pieceArrived(From, Incarnation, Moved);
+      });
       pump(From);
     });
     return;
   }
 }
 
-void SwarmSimulation::pieceArrived(std::uint32_t From, std::uint32_t FromLife,
+void SwarmSimulation::pieceArrived(std::uint32_t From,
+                                   std::uint32_t FromIncarnation,
                                    std::shared_ptr<Upload> Moved) {
   ++Moved->m_Arrived;
   Node &To = m_Nodes[Moved->m_To];
   const bool Linked = To.m_Alive && !To.m_Stalled &&
                       To.m_Linked.contains(From) &&
-                      m_Nodes[From].m_Life == FromLife;
+                      m_Nodes[From].m_Incarnation == FromIncarnation;
   if (Linked) {
     To.m_Swarm->onProgress(From, Moved->m_Chunk, m_Now);
     if (Moved->m_Arrived == Pieces &&
@@ -293,10 +295,10 @@
 }
 
 void SwarmSimulation::stage(std::uint32_t Agent, std::uint32_t Chunk) {
-  const std::uint32_t Life = m_Nodes[Agent].m_Life;
-  after(m_Options.m_StagingTime, [this, Agent, Chunk, Life] {
+  const std::uint32_t Incarnation = m_Nodes[Agent].m_Incarnation;
+  after(m_Options.m_StagingTime, [this, Agent, Chunk, Incarnation] {
     Node &Self = m_Nodes[Agent];
-    if (Self.m_Life != Life || !Self.m_Alive)
+    if (Self.m_Incarnation != Incarnation || !Self.m_Alive)
       return;
     perform(Agent, Self.m_Swarm->onStaged(Chunk, true, m_Now));
     if (Self.m_Swarm->complete())
@@ -310,13 +312,13 @@
   m_OriginSending = true;
   std::shared_ptr<Upload> Next = m_Reads.front();
   m_Reads.pop_front();
-  const std::uint32_t Life = m_ReadLife[Next.get()];
+  const std::uint32_t Incarnation = m_ReadIncarnation[Next.get()];
   if (!m_OriginUp) {
     m_OriginSending = false;
-    m_ReadLife.erase(Next.get());
-    after(m_Options.m_Delay, [this, Next, Life] {
+    m_ReadIncarnation.erase(Next.get());
+    after(m_Options.m_Delay, [this, Next, Incarnation] {
       Node &Reader = m_Nodes[Next->m_To];
-      if (Reader.m_Life == Life)
+      if (Reader.m_Incarnation == Incarnation)
         perform(Next->m_To,
                 Reader.m_Swarm->onOriginReply(
                     Next->m_Chunk, Swarm::OriginOutcome::Refused, m_Now));
@@ -324,27 +326,27 @@
     return pumpOrigin();
   }
   const TimePoint Out =
-      serve(m_OriginLink, 1.0 / Pieces / m_Options.m_OriginRate);
-  after(Out - m_Now, [this, Next, Life] {
+      transmit(m_OriginLink, 1.0 / Pieces / m_Options.m_OriginRate);
+  after(Out - m_Now, [this, Next, Incarnation] {
     m_OriginSending = false;
     ++Next->m_Sent;
-    const TimePoint In = serve(down(Next->m_To), 1.0 / Pieces);
+    const TimePoint In = transmit(down(Next->m_To), 1.0 / Pieces);
     after(In - m_Now + m_Options.m_Delay,
-          [this, Next, Life] { originPiece(Next, Life); });
+          [this, Next, Incarnation] { originPiece(Next, Incarnation); });
     if (Next->m_Sent < Pieces)
-      m_Reads.push_back(Next); // the connections take turns
+      m_Reads.push_back(Next); // connections are served round-robin
     pumpOrigin();
   });
 }
 
 void SwarmSimulation::originPiece(std::shared_ptr<Upload> Moved,
-                                  std::uint32_t Life) {
+                                  std::uint32_t Incarnation) {
   if (++Moved->m_Arrived < Pieces)
     return;
-  m_ReadLife.erase(Moved.get());
+  m_ReadIncarnation.erase(Moved.get());
   ++m_OriginChunks;
   Node &Reader = m_Nodes[Moved->m_To];
-  if (Reader.m_Life != Life || !Reader.m_Alive)
+  if (Reader.m_Incarnation != Incarnation || !Reader.m_Alive)
     return;
   const bool Wanted = Reader.m_Swarm->wants(Moved->m_Chunk);
   perform(Moved->m_To, Reader.m_Swarm->onOriginReply(
--- a/support/simulation/swarm-simulation.h
+++ b/support/simulation/swarm-simulation.h
@@ -1,5 +1,5 @@
-// Drives many swarms by an event queue in virtual time: one origin, shaped
-// links, no sockets. For tests and benchmarks of the decisions only.
+// Simulates many swarms with one origin and shaped links in virtual time,
+// without sockets, for tests and benchmarks of the decisions.
 #pragma once
 
 #include "deckpitch/swarm.h"
@@ -18,23 +18,24 @@
 struct SimulationOptions {
   std::uint32_t m_Agents = 16;
   std::uint32_t m_Chunks = 256;
-  std::uint32_t m_Peers = 16;      ///< that each agent is told of
-  std::uint32_t m_DataCentres = 1; ///< agents in turn
-  bool m_SharedLinks = false;      ///< one budget for both directions
-  double m_OriginRate = 2.0;       ///< chunks in the time of one at a link
-  Duration m_ChunkTime = std::chrono::milliseconds(100); ///< at a link's rate
-  Duration m_Delay = std::chrono::milliseconds(1);       ///< one way
+  std::uint32_t m_Peers = 16;      ///< given to each agent
+  std::uint32_t m_DataCentres = 1; ///< agents are assigned round-robin
+  bool m_SharedLinks = false;      ///< both directions share the bandwidth
+  double m_OriginRate = 2.0;       ///< chunks per chunk time of a link
+  Duration m_ChunkTime =
+      std::chrono::milliseconds(100);              ///< of a chunk on a link
+  Duration m_Delay = std::chrono::milliseconds(1); ///< one way
   Duration m_StagingTime = std::chrono::milliseconds(2);
   SwarmOptions m_Swarm;
   std::uint64_t m_Seed = 1;
-  /// Agents whose links are slower by that factor.
+  /// Agents with slower links, by factor.
   std::map<std::uint32_t, double> m_Slow;
 };
 
 struct SimulationResult {
   bool m_Complete = false;
-  double m_Slots = 0; ///< until the last agent had everything, in chunk times
-  double m_Bound = 0; ///< M + floor(log2 N), in chunk times
+  double m_Slots = 0; ///< until the last copy was complete, in chunk times
+  double m_Bound = 0; ///< M chunks + floor(log2 N agents), in chunk times
   double m_OriginCopies = 0;
   std::uint64_t m_Duplicates = 0;
   std::uint64_t m_Crossings = 0;
@@ -47,15 +48,15 @@
 public:
   explicit SwarmSimulation(SimulationOptions Options);
 
-  /// Calls back at that time, for faults.
+  /// Schedules a callback, such as a fault.
   void at(Duration When, std::function<void(SwarmSimulation &)> Do);
-  /// The agent and what it held are gone.
+  /// Kills the agent; its chunks are lost.
   void kill(std::uint32_t Agent);
-  /// A fresh agent takes the place, with nothing.
+  /// Replaces the agent by a new one without chunks.
   void replace(std::uint32_t Agent);
-  /// The agent's links stop without closing.
+  /// Blocks the agent's links without closing them.
   void stall(std::uint32_t Agent);
-  /// Its chunks arrive corrupted.
+  /// Lets the agent's chunks arrive corrupted.
   void corrupt(std::uint32_t Agent);
   void setOriginUp(bool Up) { m_OriginUp = Up; }
   std::uint32_t chunksHeld(std::uint32_t Agent) const;
@@ -67,12 +68,12 @@
   SimulationResult run(Duration Limit = std::chrono::hours(1));
 
 private:
-  static constexpr std::uint32_t Pieces = 4; ///< of a chunk
+  static constexpr std::uint32_t Pieces = 4; ///< per chunk
   static constexpr std::uint32_t InFlight = 2;
   static constexpr std::uint32_t OriginNode = 0xffffffff;
 
-  /// A link direction: serves pieces one after the other.
-  struct Server {
+  /// One direction of a link: transmits pieces one after the other.
+  struct LinkQueue {
     TimePoint m_FreeAt{};
     double m_Slowness = 1.0;
   };
@@ -86,12 +87,12 @@
 
   struct Node {
     std::unique_ptr<Swarm> m_Swarm;
-    std::uint32_t m_Life = 0; ///< grows when the agent is replaced
+    std::uint32_t m_Incarnation = 0; ///< incremented when the agent is replaced
     bool m_Alive = true;
     bool m_Stalled = false;
     bool m_Corrupt = false;
-    Server m_Up;
-    Server m_Down;
+    LinkQueue m_Up;
+    LinkQueue m_Down;
     std::deque<std::shared_ptr<Upload>> m_Uploads;
     bool m_Sending = false;
     std::set<std::uint32_t> m_Linked;
@@ -110,13 +111,13 @@
 
   void after(Duration Length, std::function<void()> Do);
   void makeSwarm(std::uint32_t Agent);
-  static bool greets(const Node &Each) {
+  static bool isReachable(const Node &Each) {
     return Each.m_Alive && !Each.m_Stalled;
   }
   void link(std::uint32_t A, std::uint32_t B);
   void unlink(std::uint32_t A, std::uint32_t B);
   void findPeers(std::uint32_t Agent);
-  void tick(std::uint32_t Agent, std::uint32_t Life);
+  void tick(std::uint32_t Agent, std::uint32_t Incarnation);
   void perform(std::uint32_t Agent, const SwarmActions &Actions);
   void perform(std::uint32_t Agent, const SendGrant &Action);
   void perform(std::uint32_t Agent, const SendRequest &Action);
@@ -127,16 +128,16 @@
   void perform(std::uint32_t Agent, const ReadOrigin &Action);
   void perform(std::uint32_t Agent, const DropPeer &Action);
   void perform(std::uint32_t Agent, const AskForPeers &Action);
-  /// Delivers a message to a linked, living peer after the delay.
-  void tell(std::uint32_t From, std::uint32_t To,
+  /// Delivers a message to a connected live peer after the delay.
+  void send(std::uint32_t From, std::uint32_t To,
             std::function<SwarmActions(Swarm &)> Event);
   void pump(std::uint32_t From);
-  void pieceArrived(std::uint32_t From, std::uint32_t FromLife,
+  void pieceArrived(std::uint32_t From, std::uint32_t FromIncarnation,
                     std::shared_ptr<Upload> Moved);
   void pumpOrigin();
-  void originPiece(std::shared_ptr<Upload> Moved, std::uint32_t Life);
-  TimePoint serve(Server &By, double Chunks);
-  Server &down(std::uint32_t Agent);
+  void originPiece(std::shared_ptr<Upload> Moved, std::uint32_t Incarnation);
+  TimePoint transmit(LinkQueue &By, double Chunks);
+  LinkQueue &down(std::uint32_t Agent);
   Duration scaled(double Chunks) const;
   void stage(std::uint32_t Agent, std::uint32_t Chunk);
   DataCentreId dataCentre(std::uint32_t Agent) const;
@@ -149,9 +150,9 @@
   TimePoint m_Now{std::chrono::seconds(1)};
   TimePoint m_Start = m_Now;
   std::vector<Node> m_Nodes;
-  Server m_OriginLink;
+  LinkQueue m_OriginLink;
   std::deque<std::shared_ptr<Upload>> m_Reads;
-  std::map<Upload *, std::uint32_t> m_ReadLife;
+  std::map<Upload *, std::uint32_t> m_ReadIncarnation;
   bool m_OriginSending = false;
   bool m_OriginUp = true;
   std::uint64_t m_OriginChunks = 0;
--- a/support/simulation/tree-simulation.cc
+++ b/support/simulation/tree-simulation.cc
@@ -62,12 +62,12 @@
     double m_DownFreeAt = 0;
     std::uint32_t m_Held = 0;
     std::uint32_t m_Parent = 0;
-    std::uint32_t m_InFlight = 0;      ///< chunks on the way to it
+    std::uint32_t m_InFlight = 0;      ///< chunks being sent to it
     std::deque<std::uint32_t> m_Queue; ///< receivers of the next chunks
     bool m_Sending = false;
   };
 
-  /// Times are in chunk times of a link.
+  /// An event; times are in chunk times of a link.
   struct Event {
     double m_When;
     std::uint64_t m_Order;
@@ -108,7 +108,7 @@
     at(Start + 1.0 + delay(), [this, To] { arrived(To); });
   }
 
-  /// Links that are shared take turns best when nothing is sent ahead.
+  /// Shared links alternate directions best when nothing is sent ahead.
   std::uint32_t inFlight() const { return m_Options.m_SharedLinks ? 1 : 2; }
 
   double delay() const {
@@ -122,7 +122,8 @@
     m_Last = m_Now;
     if (!m_FromOrigin)
       passOn(At);
-    pump(m_Nodes[At].m_Parent); // only then: a shared link gives first
+    pump(m_Nodes[At]
+             .m_Parent); // last, so that a shared link sends before it receives
   }
 
   void passOn(std::uint32_t At) {
--- a/support/simulation/tree-simulation.h
+++ b/support/simulation/tree-simulation.h
@@ -1,4 +1,5 @@
-// Baselines of the swarm in virtual time: trees over the same shaped links.
+// Baselines for the swarm in virtual time: distribution trees over the same
+// shaped links.
 #pragma once
 
 #include "simulation/swarm-simulation.h"
@@ -6,15 +7,15 @@
 namespace deckpitch::simulation {
 
 enum class Scheme {
-  Chain,          ///< whole copies, one instance after the other
-  ChainOfChunks,  ///< each chunk is passed on as it comes
-  BinaryTree,     ///< whole copies, two receivers for each sender
-  QuaternaryTree, ///< whole copies, four receivers for each sender
+  Chain,          ///< complete copies, one instance after the other
+  ChainOfChunks,  ///< each chunk is forwarded when it arrives
+  BinaryTree,     ///< complete copies, two receivers per sender
+  QuaternaryTree, ///< complete copies, four receivers per sender
   EveryoneFromOrigin
 };
 
-/// Time and origin bytes without faults. Of the options it minds the numbers,
-/// the links, the origin's rate and the delay.
+/// Computes time and origin bytes without faults. Uses only the counts, links,
+/// origin rate and delay of the options.
 SimulationResult runBaseline(const SimulationOptions &Options, Scheme By);
 
 } // namespace deckpitch::simulation
--- a/test/servable-test.cc
+++ b/test/servable-test.cc
@@ -1,5 +1,5 @@
-// What may serve, over many seeds and random orders of events, on a virtual
-// clock: the decisions of the swarm and of the rollout against a model engine.
+// Property test of which weights may serve: runs the decisions of the swarm and
+// of the rollout against a model engine, with random events on a virtual clock.
 #include "deckpitch/rollout.h"
 #include "deckpitch/swarm.h"
 
@@ -24,9 +24,9 @@
 constexpr PeerNumber Peers = 3;
 constexpr int Seeds = 300;
 constexpr int RandomEvents = 500;
-constexpr int QuietEvents = 2'000;
+constexpr int FaultFreeEvents = 2'000;
 
-/// What a chunk's bytes are; 0: not there, or not what any manifest names.
+/// Identifies the bytes of a chunk; 0: missing, or named by no manifest.
 using ChunkContent = std::uint64_t;
 
 WeightsId versionNamed(std::uint32_t Version) {
@@ -40,7 +40,7 @@
   return Out;
 }
 
-/// A version's content, which the origin may replace under the same name.
+/// The content of a version. The origin may replace it under the same name.
 struct Edition {
   std::uint32_t m_Version = 0;
   std::uint32_t m_Number = 0;
@@ -53,7 +53,7 @@
 
 using Staging = std::map<std::uint32_t, ChunkContent>;
 
-/// An engine that loads what it is told, and may confirm a wrong digest.
+/// An engine that obeys orders but may report a wrong digest.
 struct ModelEngine {
   std::uint32_t m_Slots = 2;
   std::map<WeightsId, Staging> m_Staging;
@@ -81,24 +81,24 @@
   }
 };
 
-/// Peers that lied come back soon, so that many can be tried.
+/// Short quarantines, so that a run covers many faulty peers.
 SwarmOptions swarmOptions() {
   SwarmOptions Out;
-  Out.m_SetAside = Out.m_SetAsideLong = 2s;
+  Out.m_Quarantine = Out.m_LongQuarantine = 2s;
   return Out;
 }
 
-/// The agent's knowledge of one copy.
+/// The agent's state of one copy.
 struct ModelCopy {
   Edition m_Edition;
   std::unique_ptr<Swarm> m_Swarm;
-  std::vector<std::uint32_t> m_Reading;  ///< from the origin, no answer yet
-  std::vector<SendRequest> m_Requested;  ///< of peers, no answer yet
-  std::vector<std::uint32_t> m_Unstaged; ///< verified, on the way to staging
+  std::vector<std::uint32_t> m_Reading;  ///< from the origin, unanswered
+  std::vector<SendRequest> m_Requested;  ///< from peers, unanswered
+  std::vector<std::uint32_t> m_Unstaged; ///< verified, being staged
 };
 
-/// One instance in the hands of a random generator. The agent's part repeats
-/// in small what the daemon does with the kernel's decisions.
+/// One instance that is driven by random events. Its agent is a small model of
+/// how the daemon carries out the kernel's decisions.
 class World {
 public:
   explicit World(int Seed)
@@ -122,17 +122,17 @@
     if (Kind < 9)
       return changeContent();
     if (Kind < 11)
-      return rotStaging();
+      return corruptStaging();
     if (Kind < 100)
       return round();
     copyEvent(true);
   }
 
-  /// No more faults: everything arrives and every order is obeyed.
-  bool servesInTheEnd() {
-    m_Quiet = true;
+  /// Runs without faults: everything arrives and the engine obeys every order.
+  bool servesWithoutFaults() {
+    m_FaultFree = true;
     m_Goal.m_Activate = m_Goal.m_Prefetch;
-    for (int I = 0; I < QuietEvents; ++I) {
+    for (int I = 0; I < FaultFreeEvents; ++I) {
       m_Now += 100ms;
       copyEvent(false);
       round();
@@ -178,7 +178,7 @@
 
   void restartEngine() {
     for (const auto &[Weights, Staged] : m_Engine.m_Staging)
-      m_Disturbed.insert(Weights);
+      m_DamagedStaging.insert(Weights);
     m_Engine.m_Staging.clear();
     m_Engine.m_Loaded.clear();
     m_EverVerified.clear();
@@ -191,12 +191,12 @@
     m_Copies.erase(versionNamed(Version));
   }
 
-  void rotStaging() {
+  void corruptStaging() {
     for (auto &[Weights, Staged] : m_Engine.m_Staging)
       for (auto &[Index, Content] : Staged)
         if (pick(8) == 0) {
           Content = 0;
-          m_Disturbed.insert(Weights);
+          m_DamagedStaging.insert(Weights);
         }
   }
 
@@ -324,7 +324,7 @@
       ++m_TimesServed;
     }
     if (Step.m_Ready)
-      checkGenuine(active(), "ready");
+      checkVerified(active(), "ready");
     std::erase_if(m_Copies, [&](const auto &Each) {
       return Each.first != m_Goal.m_Activate &&
              Each.first != m_Goal.m_Prefetch &&
@@ -333,12 +333,13 @@
     perform(Step);
   }
 
-  /// Only what was whole in staging, and confirmed with its own digest.
-  void checkGenuine(const LoadedWeights *Held, const std::string &What) {
+  /// Checks that the weights were complete in staging and confirmed with their
+  /// own digest.
+  void checkVerified(const LoadedWeights *Held, const std::string &What) {
     if (!Held)
-      return violated(What + " with nothing loaded");
+      return violated(What + " without loaded weights");
     if (!m_EverVerified.contains({Held->m_Weights, Held->m_Digest}))
-      violated(What + " with other content than " + Held->m_Weights.m_Text);
+      violated(What + " with unverified content of " + Held->m_Weights.m_Text);
   }
 
   void perform(const RolloutStep &Step) {
@@ -358,14 +359,14 @@
         return Each.m_Weights == Step.m_Weights;
       });
       m_Engine.m_Staging.erase(Step.m_Weights);
-      m_Disturbed.insert(Step.m_Weights);
+      m_DamagedStaging.insert(Step.m_Weights);
       break;
     default:
       break;
     }
   }
 
-  /// Reads the manifest, and takes what staging holds if its digests fit.
+  /// Reads the manifest and adds the staged chunks with matching digests.
   void startCopy(const WeightsId &Weights) {
     const auto Found = std::find_if(
         m_Current.begin(), m_Current.end(), [&](const Edition &Each) {
@@ -373,7 +374,7 @@
         });
     ModelCopy &Fresh = m_Copies[Weights];
     Fresh.m_Edition = *Found;
-    m_Disturbed.erase(Weights);
+    m_DamagedStaging.erase(Weights);
     Fresh.m_Swarm =
         std::make_unique<Swarm>(InstanceId{"self"}, DataCentreId{"lahore"},
                                 Chunks, swarmOptions(), m_Random());
@@ -386,13 +387,13 @@
   void load(const WeightsId &Weights) {
     const auto Copy = m_Copies.find(Weights);
     if (Copy == m_Copies.end())
-      return violated("loaded what was not copied");
+      return violated("loaded weights without a copy");
     const Edition Of = Copy->second.m_Edition;
-    // What staging lost after it was stored is told by the engine, and the
-    // agent checks all chunks again.
+    // The engine reports chunks that staging lost after they were stored, and
+    // the agent checks all of them again.
     const bool Whole = m_Engine.holds(Of);
-    if (!Whole && !m_Disturbed.contains(Weights))
-      violated("ordered to load what is not whole");
+    if (!Whole && !m_DamagedStaging.contains(Weights))
+      violated("ordered to load an incomplete copy");
     if (!Whole) {
       m_Copies.erase(Copy);
       return;
@@ -400,20 +401,20 @@
     LoadedWeights *Same = m_Engine.find(Weights);
     if (Same && Same->m_Active && Same->m_Digest != Of.whole())
       return; // in use
-    const bool Wrong = !m_Quiet && pick(4) == 0;
-    const Digest Said = Wrong ? digestOf(m_Random()) : Of.whole();
+    const bool Wrong = !m_FaultFree && pick(4) == 0;
+    const Digest Reported = Wrong ? digestOf(m_Random()) : Of.whole();
     if (!Wrong)
-      m_EverVerified.insert({Weights, Said});
+      m_EverVerified.insert({Weights, Reported});
     if (Same)
-      Same->m_Digest = Said;
+      Same->m_Digest = Reported;
     else
-      m_Engine.m_Loaded.push_back({Weights, Said, false});
+      m_Engine.m_Loaded.push_back({Weights, Reported, false});
     m_Confirmed[Weights] = Of.whole();
   }
 
   void activate(const WeightsId &Weights) {
     LoadedWeights *Wanted = m_Engine.find(Weights);
-    checkGenuine(Wanted, "activated");
+    checkVerified(Wanted, "activated");
     if (!Wanted)
       return;
     for (LoadedWeights &Each : m_Engine.m_Loaded)
@@ -423,22 +424,22 @@
 
   std::mt19937 m_Random;
   TimePoint m_Now{1'000s};
-  std::vector<Edition> m_Current; ///< what the origin's manifests name
+  std::vector<Edition> m_Current; ///< contents of the origin's manifests
   ModelEngine m_Engine;
   InstanceGoal m_Goal;
   AssignedPool m_Served;
   std::map<WeightsId, ModelCopy> m_Copies;
-  std::map<WeightsId, Digest> m_Confirmed; ///< loaded in this agent's life
+  std::map<WeightsId, Digest> m_Confirmed; ///< loaded since the agent's start
   std::set<std::pair<WeightsId, Digest>> m_EverVerified;
-  std::set<WeightsId> m_Disturbed; ///< staging lost what a copy stored there
-  bool m_Quiet = false;
+  std::set<WeightsId> m_DamagedStaging; ///< staging lost stored chunks
+  bool m_FaultFree = false;
   bool m_Ready = false;
   int m_TimesServed = 0;
   std::string m_LastCondition;
   std::string m_Violation;
 };
 
-TEST(Servable, OnlyWhatIsVerifiedAndConfirmedInWhateverOrder) {
+TEST(Servable, ServesOnlyVerifiedAndConfirmedWeights) {
   int Served = 0;
   for (int Seed = 0; Seed < Seeds; ++Seed) {
     World Under(Seed);
@@ -447,7 +448,7 @@
     ASSERT_EQ(Under.violation(), "") << "seed " << Seed;
     Served += Under.timesServed();
   }
-  EXPECT_GT(Served, Seeds) << "nothing was tried";
+  EXPECT_GT(Served, Seeds) << "weights hardly ever served";
 }
 
 TEST(Servable, ServesWhenTheFaultsEnd) {
@@ -455,7 +456,7 @@
     World Under(Seed);
     for (int I = 0; I < RandomEvents; ++I)
       Under.randomEvent();
-    ASSERT_TRUE(Under.servesInTheEnd())
+    ASSERT_TRUE(Under.servesWithoutFaults())
         << "seed " << Seed << ": " << Under.describe();
     ASSERT_EQ(Under.violation(), "") << "seed " << Seed;
   }
--- a/test/swarm-ends-test.cc
+++ b/test/swarm-ends-test.cc
@@ -1,5 +1,4 @@
-// States in which a copy could wait for ever: each must have a way out that
-// needs nothing but time.
+// States in which a copy could be stuck forever: a timeout must end each.
 #include "deckpitch/swarm.h"
 
 #include <gtest/gtest.h>
@@ -14,25 +13,26 @@
 
 constexpr TimePoint Start{1'000'000s};
 constexpr std::uint32_t Chunks = 12;
-/// Far beyond all waits of a swarm added up: whoever needs it is stuck.
+/// Exceeds the sum of all timeouts of a swarm: a copy that takes longer is
+/// stuck.
 constexpr Duration LongEnough = 5min;
 
-/// One swarm, an origin, and peers that only do what a test says.
-class Waiting : public testing::Test {
+/// One swarm with an origin and peers that are scripted by the test.
+class SwarmProgress : public testing::Test {
 protected:
   using PeerStep = std::function<void(TimePoint Now)>;
   using OriginStep =
       std::function<Swarm::OriginOutcome(std::uint32_t Chunk, TimePoint Now)>;
 
-  void join(PeerNumber Number, const std::string &Centre, bool IsWhole,
+  void join(PeerNumber Number, const std::string &Centre, bool HasAll,
             TimePoint Now) {
     ChunkSet Has(Chunks);
-    for (std::uint32_t I = 0; IsWhole && I < Chunks; ++I)
+    for (std::uint32_t I = 0; HasAll && I < Chunks; ++I)
       Has.insert(I);
     m_Swarm.onPeerJoined(Number, {"peer-" + std::to_string(Number)}, {Centre},
                          Has, ChunkSet(Chunks), Now);
   }
-  /// The chunk that the peer's grant is answered with, if any.
+  /// Grants an upload and returns the chunk that the swarm requests, if any.
   std::optional<std::uint32_t> grant(PeerNumber From, TimePoint Now) {
     for (const SwarmAction &Each : m_Swarm.onGrant(From, Now))
       if (const auto *Asked = std::get_if<SendRequest>(&Each))
@@ -43,12 +43,12 @@
     m_Swarm.onStaged(Chunk, true, Now);
   }
 
-  /// Whether the copy ends.
-  bool ends(const PeerStep &Peers, const OriginStep &Origin) {
+  /// Whether the copy becomes complete.
+  bool completes(const PeerStep &Peers, const OriginStep &Origin) {
     for (Duration At{}; At < LongEnough && !m_Swarm.complete(); At += 100ms) {
       const TimePoint Now = Start + At;
       Peers(Now);
-      // What it gives in answer to a reply is read in its turn.
+      // Reads that result from a reply are appended and handled too.
       SwarmActions Due = m_Swarm.onTick(Now);
       for (std::size_t I = 0; I < Due.size(); ++I) {
         const auto *Read = std::get_if<ReadOrigin>(&Due[I]);
@@ -65,7 +65,7 @@
     return m_Swarm.complete();
   }
 
-  static Swarm::OriginOutcome isAway(std::uint32_t, TimePoint) {
+  static Swarm::OriginOutcome isDown(std::uint32_t, TimePoint) {
     return Swarm::OriginOutcome::Refused;
   }
   static Swarm::OriginOutcome isGood(std::uint32_t, TimePoint) {
@@ -75,7 +75,7 @@
   Swarm m_Swarm{{"self"}, {"lahore"}, Chunks, {}, 7};
 };
 
-TEST_F(Waiting, EndsWithAnOriginThatCutsOffSomeChunks) {
+TEST_F(SwarmProgress, CompletesWithAnOriginThatRefusesSomeReads) {
   for (std::uint32_t Every : {2U, 3U, 5U}) {
     m_Swarm = Swarm({"self"}, {"lahore"}, Chunks, {}, 7);
     std::uint32_t Reads = 0;
@@ -83,11 +83,11 @@
       return ++Reads % Every == 0 ? Swarm::OriginOutcome::Refused
                                   : Swarm::OriginOutcome::Good;
     };
-    EXPECT_TRUE(ends([](TimePoint) {}, Loses)) << Every;
+    EXPECT_TRUE(completes([](TimePoint) {}, Loses)) << Every;
   }
 }
 
-TEST_F(Waiting, EndsThoughTheImportersBringNothing) {
+TEST_F(SwarmProgress, CompletesWithoutTheImporters) {
   std::vector<InstanceId> Near{{"self"}};
   for (PeerNumber Each = 2; Each < 9; ++Each) {
     Near.push_back({"peer-" + std::to_string(Each)});
@@ -103,13 +103,13 @@
       take(*Asked, Now);
     }
   };
-  EXPECT_TRUE(ends(Offers, isAway));
+  EXPECT_TRUE(completes(Offers, isDown));
 }
 
-TEST_F(Waiting, EndsThoughPeersAreAskedAndSendNothing) {
+TEST_F(SwarmProgress, CompletesWhenPeersNeverSend) {
   std::uint32_t Asked = 0;
   PeerNumber Next = 0;
-  // They are alive, and come back as soon as they may.
+  // The peers stay alive and reconnect as soon as their quarantine ends.
   const auto Promise = [&](TimePoint Now) {
     if (m_Swarm.peerCount() < 2)
       join(++Next % 4, "lahore", true, Now);
@@ -118,13 +118,13 @@
       Asked += grant(Each, Now).has_value();
     }
   };
-  EXPECT_TRUE(ends(Promise, isGood));
+  EXPECT_TRUE(completes(Promise, isGood));
   EXPECT_GT(Asked, 0U);
 }
 
-// Without a clock for peers that hold chunks and give none, this copy waited
-// for ever: each refusal leaves its chunk with two holders.
-TEST_F(Waiting, EndsThoughPeersRefuseWhatTheyOffered) {
+// Without a timeout for holders that send nothing this copy was stuck: after
+// each refusal its chunk still has two holders.
+TEST_F(SwarmProgress, CompletesWhenPeersRefuseGrantedChunks) {
   join(1, "lahore", true, Start);
   join(2, "lahore", true, Start);
   const auto Refuse = [&](TimePoint Now) {
@@ -134,10 +134,10 @@
         m_Swarm.onRefusal(Each, *Asked, Now);
     }
   };
-  EXPECT_TRUE(ends(Refuse, isGood));
+  EXPECT_TRUE(completes(Refuse, isGood));
 }
 
-TEST_F(Waiting, EndsThoughAllPeersAreSetAsideForLong) {
+TEST_F(SwarmProgress, CompletesWhenAllPeersAreQuarantined) {
   const auto Spoil = [&](TimePoint Now) {
     for (PeerNumber Each : {1, 2}) {
       join(Each, "lahore", true, Now);
@@ -145,11 +145,11 @@
         m_Swarm.onArrived(Each, *Asked, false, Now);
     }
   };
-  EXPECT_TRUE(ends(Spoil, isGood));
+  EXPECT_TRUE(completes(Spoil, isGood));
   EXPECT_GE(m_Swarm.counters().m_Corrupt, 2U);
 }
 
-TEST_F(Waiting, EndsThoughAPeerTakesEachGrantAndNeverAsks) {
+TEST_F(SwarmProgress, CompletesWhenAPeerNeverUsesItsGrants) {
   join(1, "lahore", false, Start);
   join(2, "lahore", true, Start);
   const auto Give = [&](TimePoint Now) {
@@ -159,7 +159,7 @@
       take(*Asked, Now);
     }
   };
-  EXPECT_TRUE(ends(Give, isAway));
+  EXPECT_TRUE(completes(Give, isDown));
 }
 
 } // namespace
--- a/test/swarm-simulation-test.cc
+++ b/test/swarm-simulation-test.cc
@@ -1,4 +1,4 @@
-// Faults of a rollout in virtual time, against the decisions of the swarm.
+// Faults during the distribution of weights, simulated in virtual time.
 #include "simulation/swarm-simulation.h"
 #include "simulation/tree-simulation.h"
 
@@ -24,28 +24,28 @@
   return Out;
 }
 
-/// A fault, and what it may cost at most.
+/// A fault and the limits of its cost.
 struct Row {
   const char *m_Name;
   std::function<void(SwarmSimulation &)> m_Fault;
-  double m_MostRatio;  ///< of the faultless bound
-  double m_MostCopies; ///< from the origin
+  double m_MaxRatio;  ///< of the bound without faults
+  double m_MaxCopies; ///< read from the origin
 };
 
 void PrintTo(const Row &Value, std::ostream *Out) { *Out << Value.m_Name; }
 
-constexpr Duration Half = 6s; ///< about half of the copies are out
+constexpr Duration Half = 6s; ///< about half of the distribution is done
 
 class SwarmFault : public testing::TestWithParam<Row> {};
 
-/// A run that would never end is cut off in virtual time, and fails.
+/// Virtual time after which a run that does not complete is cut off and fails.
 Duration limitOf(const Row &Of, const SimulationOptions &Options) {
   const double Bound = Options.m_Chunks + std::bit_width(Agents) - 1;
-  const double Most = 1.01 * Of.m_MostRatio * Bound;
-  return std::chrono::duration_cast<Duration>(Most * Options.m_ChunkTime);
+  const double Limit = 1.01 * Of.m_MaxRatio * Bound;
+  return std::chrono::duration_cast<Duration>(Limit * Options.m_ChunkTime);
 }
 
-TEST_P(SwarmFault, EndsWithEveryCopyWhole) {
+TEST_P(SwarmFault, EveryCopyCompletes) {
   for (std::uint64_t Seed : {1, 3, 5}) {
     SCOPED_TRACE(Seed);
     SimulationOptions Options = options();
@@ -54,8 +54,8 @@
     GetParam().m_Fault(Under);
     const SimulationResult Result = Under.run(limitOf(GetParam(), Options));
     EXPECT_TRUE(Result.m_Complete);
-    EXPECT_LE(Result.ratio(), GetParam().m_MostRatio);
-    EXPECT_LE(Result.m_OriginCopies, GetParam().m_MostCopies);
+    EXPECT_LE(Result.ratio(), GetParam().m_MaxRatio);
+    EXPECT_LE(Result.m_OriginCopies, GetParam().m_MaxCopies);
   }
 }
 
@@ -132,7 +132,7 @@
 INSTANTIATE_TEST_SUITE_P(Table, SwarmFault, testing::ValuesIn(Rows),
                          [](const auto &Info) { return Info.param.m_Name; });
 
-TEST(SwarmSimulation, ALinkAtATenthDoesNotHoldUpTheOthers) {
+TEST(SwarmSimulation, ASlowLinkDoesNotDelayTheOthers) {
   SimulationOptions Options = options();
   Options.m_Slow[3] = 10.0;
   SwarmSimulation Under(Options);
@@ -140,7 +140,7 @@
   EXPECT_EQ(Under.completeAgents(), Agents - 1);
 }
 
-TEST(SwarmSimulation, OneCopyLeavesTheOriginWhateverTheSize) {
+TEST(SwarmSimulation, OneCopyIsReadFromTheOriginAtAnySize) {
   for (std::uint32_t Count : {8U, 32U, 64U}) {
     SimulationOptions Options = options();
     Options.m_Agents = Count;
@@ -152,10 +152,10 @@
   }
 }
 
-/// Chunks that were read at once over a narrow link took longer than the next
-/// reader waited: 1.6 to 2.8 copies left the origin, and the last instance had
-/// one after 4.2 s.
-TEST(SwarmSimulation, ReadsNoChunkTwiceFromANarrowOrigin) {
+/// Parallel reads over a slow link took longer than the delay of the next
+/// reader, so 1.6 to 2.8 copies were read from the origin and the last instance
+/// was complete after 4.2 s.
+TEST(SwarmSimulation, ReadsNoChunkTwiceFromASlowOrigin) {
   constexpr double OriginMbps = 9;
   constexpr double LinkMbps = 9.4;
   constexpr std::uint32_t ChunkBytes = 49'152;
@@ -189,7 +189,7 @@
   EXPECT_EQ(originPacing(15, 49'152).m_Window, 22U);
   EXPECT_EQ(originPacing(9, 49'152).m_Step, 1'200ms);
   EXPECT_EQ(originPacing(0.1, 49'152).m_Window, 4U);
-  // Four of 4 s each at once.
+  // Four parallel chunks of 4 s each.
   EXPECT_GT(originPacing(0.1, 49'152).m_Step, 31s);
   EXPECT_EQ(originPacing(1e9, 49'152).m_Window, 32U);
   const OriginPacing Unknown{32, 800ms, 0ms};
@@ -205,8 +205,9 @@
   return runBaseline(Options, By);
 }
 
-TEST(TreeSimulation, TakesTheTimesThatTheSchemesAreKnownFor) {
-  constexpr double Near = 0.05; // of a copy, for delays and the first hop
+TEST(TreeSimulation, MatchesTheKnownTimesOfTheSchemes) {
+  constexpr double Tolerance =
+      0.05; // of a copy, tolerance for delays and the first hop
   constexpr std::uint32_t Count = 16;
   const auto Copies = [](Scheme By, bool Shared) {
     const SimulationResult Result = baseline(By, Shared, Count);
@@ -215,14 +216,15 @@
   };
   for (const bool Shared : {false, true}) {
     SCOPED_TRACE(Shared);
-    EXPECT_NEAR(Copies(Scheme::Chain, Shared), Count, 16 * Near);
+    EXPECT_NEAR(Copies(Scheme::Chain, Shared), Count, 16 * Tolerance);
     // Agent 15 is the second receiver of 7, as 7 is of 3, and 3 of the first.
-    EXPECT_NEAR(Copies(Scheme::BinaryTree, Shared), 1 + 3 * 2, 7 * Near);
-    EXPECT_NEAR(Copies(Scheme::EveryoneFromOrigin, Shared), Count / 2.0, Near);
+    EXPECT_NEAR(Copies(Scheme::BinaryTree, Shared), 1 + 3 * 2, 7 * Tolerance);
+    EXPECT_NEAR(Copies(Scheme::EveryoneFromOrigin, Shared), Count / 2.0,
+                Tolerance);
   }
-  EXPECT_NEAR(Copies(Scheme::ChainOfChunks, false), 1 + 16.0 / 128, Near);
-  // Each link takes turns: a chunk in, a chunk out.
-  EXPECT_NEAR(Copies(Scheme::ChainOfChunks, true), 2 + 16.0 / 128, Near);
+  EXPECT_NEAR(Copies(Scheme::ChainOfChunks, false), 1 + 16.0 / 128, Tolerance);
+  // Each link alternates between receiving and sending a chunk.
+  EXPECT_NEAR(Copies(Scheme::ChainOfChunks, true), 2 + 16.0 / 128, Tolerance);
 }
 
 } // namespace
--- a/test/swarm-test.cc
+++ b/test/swarm-test.cc
@@ -37,7 +37,7 @@
                             ChunkSet(Size), Start);
 }
 
-TEST(Swarm, ServesThePeerThatMissesMost) {
+TEST(Swarm, GrantsToThePeerWithTheFewestChunks) {
   SwarmOptions One;
   One.m_Uploads = 1;
   Swarm Under = makeSwarm(8, One);
@@ -55,7 +55,7 @@
   EXPECT_THAT(Under.onGrant(1, Start), ElementsAre(SendRequest{1, 2}));
 }
 
-TEST(Swarm, DoesNotAskForWhatIsOnItsWay) {
+TEST(Swarm, RequestsNoChunkThatIsInFlight) {
   Swarm Under = makeSwarm(2);
   join(Under, 1, {0});
   join(Under, 2, {0});
@@ -63,7 +63,7 @@
   EXPECT_THAT(Under.onGrant(2, Start), ElementsAre(SendDecline{2}));
 }
 
-TEST(Swarm, TakesFromAfarOnlyWhatNobodyNearHas) {
+TEST(Swarm, ImportsOnlyChunksThatNoLocalPeerHas) {
   Swarm Under = makeSwarm(2);
   join(Under, 1, {0, 1}, "multan");
   join(Under, 2, {0});
@@ -71,7 +71,7 @@
   EXPECT_THAT(Under.onGrant(1, Start), ElementsAre(SendDecline{1}));
 }
 
-TEST(Swarm, ReadsFromTheOriginOnlyItsOwnShare) {
+TEST(Swarm, EachChunkIsReadFromTheOriginByOneInstance) {
   SwarmOptions Options;
   Options.m_OriginReads = 64;
   Options.m_OriginWindow = 64;
@@ -87,7 +87,7 @@
   EXPECT_EQ(Reads, 64U);
 }
 
-TEST(Swarm, TheNextInRankReadsWhenTheFirstDoesNot) {
+TEST(Swarm, TheNextInRankReadsAfterTheOriginStep) {
   SwarmOptions Options;
   Options.m_OriginReads = 64;
   Swarm First(named("a"), DataCentreId{"lahore"}, 1, Options, 1);
@@ -102,12 +102,12 @@
   EXPECT_THAT(Later.onTick(Start + Options.m_OriginStep), Read);
 }
 
-TEST(Swarm, ACorruptChunkSetsThePeerAsideThenForLong) {
+TEST(Swarm, ACorruptChunkQuarantinesThePeer) {
   SwarmOptions Options;
   Swarm Under = makeSwarm(4, Options);
   join(Under, 1, {0, 1});
   Under.onGrant(1, Start);
-  const TimePoint Until = Start + Options.m_SetAside;
+  const TimePoint Until = Start + Options.m_Quarantine;
   EXPECT_THAT(Under.onArrived(1, 0, false, Start),
               Contains(SwarmAction(DropPeer{1, Until})));
   EXPECT_TRUE(Under.setAside(named("peer-1"), Start));
@@ -122,7 +122,7 @@
       std::ranges::count(Actions, SwarmAction(ReadOrigin{Chunk})));
 }
 
-TEST(Swarm, ACorruptChunkFromTheOriginRestsAlone) {
+TEST(Swarm, ACorruptOriginReadBacksOffOnlyThatChunk) {
   Swarm Under = makeSwarm(8);
   EXPECT_EQ(readsOf(0, Under.onTick(Start)), 1U);
   const SwarmActions Next =
@@ -130,9 +130,9 @@
   EXPECT_THAT(Next, ElementsAre(ReadOrigin{2}));
 }
 
-TEST(Swarm, AChunkThatStaysCorruptRestsEverLonger) {
+TEST(Swarm, ACorruptChunkBacksOffExponentially) {
   SwarmOptions Options;
-  Options.m_CorruptRestMost = 4 * Options.m_OriginRest;
+  Options.m_MaxCorruptBackoff = 4 * Options.m_OriginRest;
   Swarm Under = makeSwarm(1, Options);
   TimePoint Now = Start;
   EXPECT_EQ(readsOf(0, Under.onTick(Now)), 1U);
@@ -144,46 +144,46 @@
   }
 }
 
-TEST(Swarm, AnOriginThatRefusesRestsForAllChunks) {
+TEST(Swarm, ARefusingOriginBacksOffForAllChunks) {
   SwarmOptions Options;
   Swarm Under = makeSwarm(8, Options);
   Under.onTick(Start);
   EXPECT_THAT(Under.onOriginReply(0, Swarm::OriginOutcome::Refused, Start),
               IsEmpty());
-  const TimePoint Rested = Start + Options.m_OriginRest;
-  EXPECT_EQ(readsOf(0, Under.onTick(Rested - 1ms)), 0U);
-  EXPECT_EQ(readsOf(0, Under.onTick(Rested)), 1U);
+  const TimePoint Retry = Start + Options.m_OriginRest;
+  EXPECT_EQ(readsOf(0, Under.onTick(Retry - 1ms)), 0U);
+  EXPECT_EQ(readsOf(0, Under.onTick(Retry)), 1U);
 }
 
-TEST(Swarm, AStallIsToldByProgress) {
+TEST(Swarm, AStallIsTimedFromTheLastProgress) {
   SwarmOptions Options;
   Swarm Under = makeSwarm(4, Options);
   join(Under, 1, {0});
   Under.onGrant(1, Start);
-  const TimePoint Half = Start + Options.m_StallAfter / 2;
+  const TimePoint Half = Start + Options.m_StallTimeout / 2;
   Under.onProgress(1, 0, Half);
   EXPECT_TRUE(Under.expects(1, 0));
-  Under.onTick(Start + Options.m_StallAfter + 1ms);
+  Under.onTick(Start + Options.m_StallTimeout + 1ms);
   EXPECT_TRUE(Under.expects(1, 0));
-  Under.onTick(Half + Options.m_StallAfter + 1ms);
+  Under.onTick(Half + Options.m_StallTimeout + 1ms);
   EXPECT_EQ(Under.counters().m_Stalls, 1U);
   EXPECT_EQ(Under.peerCount(), 0U);
   EXPECT_TRUE(Under.wants(0));
 }
 
-TEST(Swarm, ASilentPeerIsLeftThoughNothingIsExpectedOfIt) {
+TEST(Swarm, ASilentPeerIsDroppedWithoutPendingRequests) {
   SwarmOptions Options;
   Swarm Under = makeSwarm(4, Options);
   join(Under, 1, {0});
   join(Under, 2, {0});
-  const TimePoint Later = Start + Options.m_SilentAfter + 1ms;
+  const TimePoint Later = Start + Options.m_SilenceTimeout + 1ms;
   Under.onHave(2, {}, {}, Start + Options.m_KeepAlive);
   EXPECT_THAT(Under.onTick(Later),
-              Contains(SwarmAction(DropPeer{1, Later + Options.m_SetAside})));
+              Contains(SwarmAction(DropPeer{1, Later + Options.m_Quarantine})));
   EXPECT_EQ(Under.peerCount(), 1U);
 }
 
-TEST(Swarm, AChunkThatIsOnlySaidToBeSeenIsReadAllTheSame) {
+TEST(Swarm, ASeenChunkWithoutHolderIsRead) {
   SwarmOptions Options;
   Swarm Under = makeSwarm(4, Options);
   Under.onPeerJoined(1, named("peer-1"), DataCentreId{"lahore"}, setOf(4, {0}),
@@ -191,7 +191,7 @@
   std::uint32_t Reads = 0;
   for (Duration At{}; At <= 7 * Options.m_OriginStep; At += 100ms) {
     Under.onHave(1, {}, {}, Start + At);
-    // Something is always gained, so that this one never starves.
+    // Constant progress, so that the swarm never counts as starved.
     Under.onGrant(1, Start + At);
     Under.onProgress(1, 0, Start + At);
     Reads += readsOf(1, Under.onTick(Start + At));
@@ -199,17 +199,17 @@
   EXPECT_EQ(Reads, 1U);
 }
 
-TEST(Swarm, PeersHearOfThisOneAlsoWhenNothingIsNew) {
+TEST(Swarm, SendsKeepAlivesWithoutNewChunks) {
   SwarmOptions Options;
   Swarm Under = makeSwarm(4, Options);
   join(Under, 1, {0});
-  const auto Told = Contains(testing::VariantWith<SendHave>(testing::_));
-  EXPECT_THAT(Under.onTick(Start), Told);
-  EXPECT_THAT(Under.onTick(Start + Options.m_KeepAlive - 1ms), Not(Told));
-  EXPECT_THAT(Under.onTick(Start + Options.m_KeepAlive), Told);
+  const auto Announces = Contains(testing::VariantWith<SendHave>(testing::_));
+  EXPECT_THAT(Under.onTick(Start), Announces);
+  EXPECT_THAT(Under.onTick(Start + Options.m_KeepAlive - 1ms), Not(Announces));
+  EXPECT_THAT(Under.onTick(Start + Options.m_KeepAlive), Announces);
 }
 
-TEST(Swarm, AHedgedChunkThatArrivesTwiceFreesItsPlace) {
+TEST(Swarm, AHedgedChunkThatArrivesTwiceFreesItsRequestSlot) {
   SwarmOptions Options;
   Options.m_Expected = 2;
   Swarm Under = makeSwarm(2, Options);
@@ -228,30 +228,30 @@
   EXPECT_EQ(Under.counters().m_Duplicates, 1U);
 }
 
-TEST(Swarm, AnOriginThatLosesAnswersIsAskedAgainSoonAndOneThatIsAwaySeldom) {
+TEST(Swarm, OriginBackoffDoublesUpToTheMaximum) {
   const SwarmOptions Options;
   Swarm Under = makeSwarm(2, Options);
   TimePoint Now = Start;
-  const auto RestOf = [&](std::uint32_t Chunk) {
+  const auto BackoffOf = [&](std::uint32_t Chunk) {
     Under.onOriginReply(Chunk, Swarm::OriginOutcome::Failed, Now);
-    Duration Rest{};
-    while (Rest < Options.m_OriginRestMost * 2) {
-      Rest += 10ms;
-      for (const SwarmAction &Each : Under.onTick(Now + Rest))
+    Duration Backoff{};
+    while (Backoff < Options.m_MaxOriginBackoff * 2) {
+      Backoff += 10ms;
+      for (const SwarmAction &Each : Under.onTick(Now + Backoff))
         if (std::holds_alternative<ReadOrigin>(Each)) {
-          Now += Rest;
-          return Rest;
+          Now += Backoff;
+          return Backoff;
         }
     }
-    return Rest;
+    return Backoff;
   };
-  Under.onTick(Now); // Reads both.
+  Under.onTick(Now); // Reads both chunks.
   Under.onOriginReply(1, Swarm::OriginOutcome::Good, Now);
-  EXPECT_EQ(RestOf(0), Options.m_OriginRest);
-  EXPECT_EQ(RestOf(0), 2 * Options.m_OriginRest);
+  EXPECT_EQ(BackoffOf(0), Options.m_OriginRest);
+  EXPECT_EQ(BackoffOf(0), 2 * Options.m_OriginRest);
   for (int I = 0; I < 3; ++I)
-    RestOf(0);
-  EXPECT_EQ(RestOf(0), Options.m_OriginRestMost);
+    BackoffOf(0);
+  EXPECT_EQ(BackoffOf(0), Options.m_MaxOriginBackoff);
 }
 
 TEST(Swarm, ARequestThatWasNotGrantedIsRefused) {
@@ -263,43 +263,43 @@
   EXPECT_THAT(Under.onRequest(1, 77, Start), ElementsAre(SendRefusal{1, 77}));
 }
 
-/// Importers of "lahore" and "multan": whoever has the highest rank.
-void setCentres(Swarm &Under) {
+/// One instance per data centre, which is thus the importer of all its chunks.
+void setDataCentresOf(Swarm &Under) {
   Under.setDataCentres({{DataCentreId{"lahore"}, {named("self")}},
                         {DataCentreId{"multan"}, {named("peer-1")}},
                         {DataCentreId{"karachi"}, {named("elsewhere")}}});
 }
 
-TEST(Swarm, OffersFarPeersOnlyWhatTheyImport) {
+TEST(Swarm, GrantsRemotePeersOnlyWhatTheyImport) {
   Swarm Under = makeSwarm(2);
-  setCentres(Under);
+  setDataCentresOf(Under);
   join(Under, 1, {}, "multan");
   join(Under, 2, {}, "karachi");
   Under.addStaged(0, Start);
   const SwarmActions Offered = Under.onTick(Start);
   EXPECT_THAT(Offered, Contains(SwarmAction(SendGrant{1})));
   EXPECT_THAT(Offered, Not(Contains(SwarmAction(SendGrant{2}))));
-  // The importer may be gone: then the others take it.
+  // The importer may be gone, so others take the chunk after the delay.
   const Duration Wait = SwarmOptions().m_ImportWait;
   EXPECT_THAT(Under.onTick(Start + Wait - 1ms),
               Not(Contains(SwarmAction(SendGrant{2}))));
   EXPECT_THAT(Under.onTick(Start + Wait), Contains(SwarmAction(SendGrant{2})));
 }
 
-TEST(Swarm, OffersNoFarPeerWhatIsNearIt) {
+TEST(Swarm, GrantsRemotePeersNothingTheirDataCentreHolds) {
   Swarm Under = makeSwarm(2);
-  setCentres(Under);
+  setDataCentresOf(Under);
   join(Under, 1, {}, "multan");
   join(Under, 3, {0}, "multan");
   Under.addStaged(0, Start);
   EXPECT_THAT(Under.onTick(Start), Not(Contains(SwarmAction(SendGrant{1}))));
 }
 
-TEST(Swarm, LeavesFarChunksToTheImporterForAWhile) {
+TEST(Swarm, LeavesRemoteChunksToTheImporterDuringTheImportWait) {
   Swarm Under = makeSwarm(1);
   Under.setDataCentres({{DataCentreId{"lahore"}, {named("another")}}});
   join(Under, 1, {0}, "multan");
-  Under.onTick(Start); // From here on it counts as waiting for a chunk.
+  Under.onTick(Start); // Starts the wait for a chunk.
   EXPECT_THAT(Under.onGrant(1, Start), ElementsAre(SendDecline{1}));
   const Duration Wait = SwarmOptions().m_ImportWait;
   EXPECT_THAT(Under.onGrant(1, Start + Wait - 1ms),
@@ -307,8 +307,8 @@
   EXPECT_THAT(Under.onGrant(1, Start + Wait), ElementsAre(SendRequest{1, 0}));
 }
 
-/// Chunks that an instance may take from far when some time has passed since
-/// they were first seen, if nobody near has them.
+/// Number of chunks that an instance may import after the given time since they
+/// were first seen, if no local peer has them.
 std::uint32_t importsAfter(const std::string &Self, Duration Waited) {
   constexpr std::uint32_t Chunks = 48;
   Swarm Under({Self}, DataCentreId{"lahore"}, Chunks, {}, 1);
@@ -335,7 +335,7 @@
   return Taken;
 }
 
-TEST(Swarm, AsksForNoMoreFarChunksAtOnceThanAFewImportersEach) {
+TEST(Swarm, OnlyAFewInstancesImportAChunkAtOnce) {
   const Duration Wait = SwarmOptions().m_ImportWait;
   std::uint32_t AtOnce = 0;
   std::uint32_t Later = 0;
@@ -348,10 +348,10 @@
   }
   EXPECT_EQ(AtOnce, 48U);
   EXPECT_EQ(Later, 2 * 48U);
-  EXPECT_EQ(AtLast, 25 * 48U); // Everyone: the importers may all be gone.
+  EXPECT_EQ(AtLast, 25 * 48U); // All instances: the importers may be gone.
 }
 
-TEST(Swarm, NamesTheReadersOfWhatItImports) {
+TEST(Swarm, ImportSourcesAreTheRemoteImporters) {
   Swarm Under({"near"}, DataCentreId{"lahore"}, 48, {}, 1);
   Under.setDataCentres(
       {{DataCentreId{"lahore"}, {named("near")}},
@@ -363,7 +363,7 @@
   EXPECT_FALSE(Sources.empty());
 }
 
-TEST(Swarm, ReadsAgainWhatOnePeerAloneHasForLong) {
+TEST(Swarm, ReadsAChunkWithASoleHolderAgain) {
   SwarmOptions Options;
   Options.m_SoleHolderWait = 700ms;
   for (const bool HasTwoHolders : {false, true}) {
@@ -382,7 +382,7 @@
   }
 }
 
-TEST(Swarm, AsksForFewerChunksAtOnceOverANarrowLink) {
+TEST(Swarm, RequestsFewerChunksOverASlowLink) {
   SwarmOptions Options;
   Options.m_Expected = 4;
   Options.m_ChunkPatience = 600ms;
@@ -395,43 +395,41 @@
     const auto *Request = std::get_if<SendRequest>(&Out.front());
     return Request ? std::optional(Request->m_Chunk) : std::nullopt;
   };
-  // Nothing is known of the link yet.
+  // The link's speed is still unknown.
   const auto First = Ask(1, Start);
   const auto Second = Ask(2, Start);
   ASSERT_TRUE(First && Second);
   EXPECT_FALSE(Ask(3, Start));
   EXPECT_EQ(Under.linkVerdict(), LinkVerdict::Unknown);
-  // A chunk that comes fast makes room for one more than it leaves.
+  // A fast chunk raises the limit by one, beside the slot that it frees.
   Under.onArrived(1, *First, true, Start + 100ms);
   ASSERT_TRUE(Ask(3, Start + 100ms));
   ASSERT_TRUE(Ask(4, Start + 100ms));
   EXPECT_FALSE(Ask(5, Start + 100ms));
   EXPECT_EQ(Under.linkVerdict(), LinkVerdict::Sound);
-  // It took four times the patience: one at a time from now on, and two of
-  // those asked for before are still to come.
+  // Four times the target time reduces the limit to one, and two chunks are
+  // still in flight.
   Under.onArrived(2, *Second, true, Start + 2'400ms);
   EXPECT_FALSE(Ask(5, Start + 2'400ms));
   EXPECT_EQ(Under.linkVerdict(), LinkVerdict::Narrow);
 }
 
-// A process that starts again takes in what its instance has staged, one chunk
-// after the other. Peers that had called meanwhile were never told of these
-// chunks, held it for empty as long as the connection lasted, and declined all
-// that it offered.
-TEST(Swarm, TellsPeersThatCameEarlyOfWhatItFindsStaged) {
+// A restarted agent adds its staged chunks one by one. Peers that connected
+// meanwhile were never told of them, took the agent for empty and declined all
+// of its grants until the connection closed.
+TEST(Swarm, AnnouncesStagedChunksToPeersThatConnectedEarly) {
   Swarm Under = makeSwarm(4);
   EXPECT_THAT(Under.addStaged(0, Start), IsEmpty());
   join(Under, 1, {});
   EXPECT_THAT(Under.addStaged(1, Start),
               Contains(SwarmAction(SendHave{{1}, {0, 1}})));
-  // Found twice, it is told once.
+  // A chunk added twice is announced once.
   EXPECT_THAT(Under.addStaged(1, Start), IsEmpty());
 }
 
-/// Ticks for so long, while all peers stay alive and offer nothing; gives the
-/// origin's chunks to the swarm as they are asked for.
-std::vector<std::uint32_t> readsWithSilentHolders(Swarm &Under,
-                                                  Duration Length) {
+/// Ticks for the given time while all peers stay alive and grant nothing; the
+/// origin answers every read. Returns the chunks read.
+std::vector<std::uint32_t> readsWithIdleHolders(Swarm &Under, Duration Length) {
   std::vector<std::uint32_t> Out;
   for (Duration At{}; At <= Length; At += 100ms) {
     const TimePoint Now = Start + At;
@@ -449,12 +447,12 @@
   return Out;
 }
 
-// An agent held 10 of 12 chunks for more than 60 s, with four
-// peers connected that all had 12. Far peers offered nothing, because a near
-// one had the two; the near one's offers were declined, because it was not
-// known to have them; and the origin was not read, because they were known to
-// be with more than one peer. No clock ended that.
-TEST(Swarm, ReadsFromTheOriginWhatPeersHoldAndDoNotGive) {
+// An agent was stuck at 10 of 12 chunks for more than 60 s beside four peers
+// that had all 12. Remote peers granted nothing, because a local one had the
+// missing chunks; the grants of the local one were declined, because it was not
+// known to have them; and the origin was not read, because more than one peer
+// held them. No timeout ended that state.
+TEST(Swarm, ReadsChunksWhoseHoldersSendNothing) {
   Swarm Under = makeSwarm(4);
   Under.setInstances({named("self"), named("peer-1"), named("peer-2")});
   join(Under, 1, {0, 1}, "multan");
@@ -462,14 +460,14 @@
   join(Under, 3, {2, 3});
   for (std::uint32_t Chunk : {2, 3})
     Under.addStaged(Chunk, Start);
-  EXPECT_THAT(readsWithSilentHolders(Under, 20s),
+  EXPECT_THAT(readsWithIdleHolders(Under, 20s),
               testing::UnorderedElementsAre(0, 1));
   EXPECT_TRUE(Under.complete());
 }
 
-// The origin's bytes are few: peers that give are waited for, as long as it
-// takes them.
-TEST(Swarm, ReadsNothingThatPeersHoldWhileOneOfThemGives) {
+// Origin bandwidth is scarce: while a peer makes progress, the copy waits for
+// it however long that takes.
+TEST(Swarm, ReadsNothingWhileAHolderMakesProgress) {
   Swarm Under = makeSwarm(4);
   join(Under, 1, {0, 1, 2, 3});
   join(Under, 2, {0, 1, 2, 3});
