--- a/include/deckpitch/assignment.h
+++ b/include/deckpitch/assignment.h
@@ -1,4 +1,4 @@
-// Decides which instance serves which pool, and how far a rollout may go.
+// Decides which instance serves which pool, and how far a rollout may advance.
 #pragma once
 
 #include "deckpitch/declaration.h"
@@ -7,30 +7,30 @@
 
 namespace deckpitch {
 
-/// Plans the next assignment from the previous one: an instance moves only
-/// when its pool is gone or has too many in a data centre where another has
-/// too few, and those that hold a pool's weights already are taken first.
-/// Spare instances keep what they serve. Pure: two deciders with the same
-/// views plan the same.
+/// Plans the next assignment from the previous one. An instance moves only if
+/// its pool is gone, or has too many instances in a data centre where another
+/// has too few; instances that hold a pool's weights already are preferred.
+/// Surplus instances keep their pool. The function is pure, so two deciders
+/// with the same views compute the same plan.
 ///
-/// Members that are suspect keep their place; those gone or leaving lose it.
-/// Weights advance in waves: every instance that can swap without a gap at
-/// once, others at most Pool::m_MaxUnavailable at a time; a paused pool's
-/// weights stay where they are.
+/// Suspect members keep their assignment; those gone or leaving lose it.
+/// Weights advance in waves: all instances that can swap without downtime at
+/// once, others at most Pool::m_MaxUnavailable at a time. The weights of a
+/// paused pool do not change.
 Assignment planAssignment(const DeclarationSet &Declarations,
                           const MembershipView &Members);
 
-/// How long a new decider waits at most before it plans.
-inline constexpr std::chrono::seconds SettlingLimit{3};
+/// Maximum time that a new decider waits before it plans.
+inline constexpr std::chrono::seconds MaxSettlingTime{3};
 
-/// True when a decider that took over that long ago may plan. An instance that
-/// its view does not hold loses its place, as if it were gone; so it waits
-/// until the view holds every instance of the assignment in force, or until
-/// those that are missing had time enough to be heard.
+/// Whether a decider that took over SinceTakeover ago may plan. An instance
+/// that is missing in its view would lose its assignment, as if it were gone;
+/// so the decider waits until its view contains every instance of the
+/// assignment in force, or until missing ones had enough time to report.
 bool mayPlan(const Assignment &InForce, const MembershipView &Members,
              Duration SinceTakeover);
 
-/// Conditions in ServingReport that the waves rest on.
+/// Values of ServingReport::m_Condition that gate the waves.
 inline constexpr const char *ConditionStaged = "Staged";
 inline constexpr const char *ConditionLoaded = "Loaded";
 
--- a/include/deckpitch/chunk-set.h
+++ b/include/deckpitch/chunk-set.h
@@ -22,7 +22,7 @@
     return Index < m_Size && (m_Words[Index / 64] >> (Index % 64) & 1) != 0;
   }
 
-  /// False when it was there already, or is none of the set's numbers.
+  /// Returns false if the chunk was present already or is out of range.
   bool insert(std::uint32_t Index) {
     if (Index >= m_Size || contains(Index))
       return false;
@@ -39,7 +39,7 @@
     return true;
   }
 
-  /// Calls back with each number of this set that none of the others holds.
+  /// Calls back with each number of this set that is in neither A nor B.
   template <typename Function>
   void forEachNotIn(const ChunkSet &A, const ChunkSet &B,
                     Function &&Call) const {
@@ -56,9 +56,10 @@
     forEachNotIn(None, None, Call);
   }
 
-  /// One bit a chunk, lowest first.
+  /// Serializes the set with one bit per chunk, lowest first.
   std::string toBytes() const;
-  /// Bits beyond the size are ignored; missing bytes count as zero.
+  /// Parses the result of toBytes. Ignores bits beyond the size and treats
+  /// missing bytes as zero.
   static ChunkSet fromBytes(std::uint32_t Size, std::string_view Bytes);
 
   friend bool operator==(const ChunkSet &, const ChunkSet &) = default;
--- a/include/deckpitch/holders.h
+++ b/include/deckpitch/holders.h
@@ -1,5 +1,5 @@
-// Which other processes have something newer than this one, and which of them
-// is asked for it next.
+// Tracks which processes hold a newer revision than this one and which of them
+// to request it from next.
 #pragma once
 
 #include "deckpitch/id.h"
@@ -14,33 +14,33 @@
 
 namespace deckpitch {
 
-/// What another process says that it has.
+/// A process and the revision that it announced.
 struct Holder {
-  std::string m_Link;    ///< address at which it is asked
-  Revision m_Has{};      ///< of the store
-  bool m_IsNear = false; ///< in the own data centre
-  TimePoint m_ToldAt{};
+  std::string m_Link;    ///< address for requests
+  Revision m_Has{};      ///< store revision
+  bool m_IsNear = false; ///< in the same data centre
+  TimePoint m_AnnouncedAt{};
 
   friend bool operator==(const Holder &, const Holder &) = default;
 };
 
-/// One of them may have died, or be cut off, after it told: they are asked in
-/// turn. No clock of its own.
+/// Selects holders round-robin, since any of them may have died or been cut off
+/// after its announcement. Has no clock of its own.
 class Holders {
 public:
-  void note(const Holder &Told) {
-    Known &Each = m_ByLink[Told.m_Link];
-    Each.m_Told = Told;
+  void note(const Holder &Announced) {
+    Known &Each = m_ByLink[Announced.m_Link];
+    Each.m_Holder = Announced;
   }
-  /// It was asked and did not give what it had told of.
+  /// Records that a holder did not deliver the revision that it announced.
   void noteFailure(const std::string &Link) {
     const auto Found = m_ByLink.find(Link);
     if (Found != m_ByLink.end())
-      Found->second.m_LastFailure = ++m_Failures;
+      Found->second.m_LastFailureNumber = ++m_Failures;
   }
 
-  /// One that has not failed, of these a near one, and the newest; else the one
-  /// whose failure is longest ago.
+  /// The holder to ask next. Prefers holders without a failure, then the one
+  /// whose failure is the oldest; then local ones, then the newest revision.
   std::optional<Holder> next() const {
     const auto IsEarlier = [](const auto &One, const auto &Other) {
       return orderOf(One.second) < orderOf(Other.second);
@@ -49,39 +49,39 @@
         std::min_element(m_ByLink.begin(), m_ByLink.end(), IsEarlier);
     if (First == m_ByLink.end())
       return std::nullopt;
-    return First->second.m_Told;
+    return First->second.m_Holder;
   }
   bool empty() const { return m_ByLink.empty(); }
 
-  /// This process has that revision: who has no newer one is no help.
+  /// Removes holders without a newer revision than Has, which this process has.
   void forgetUpTo(Revision Has) {
     std::erase_if(m_ByLink, [&](const auto &Each) {
-      return Each.second.m_Told.m_Has <= Has;
+      return Each.second.m_Holder.m_Has <= Has;
     });
   }
-  /// The store was asked at that moment and holds nothing newer than this
-  /// process: what was told before does not exist.
+  /// Removes holders that announced their revision before Asked: the store was
+  /// queried then and held nothing newer, so these revisions do not exist.
   void forgetToldBefore(TimePoint Asked) {
     std::erase_if(m_ByLink, [&](const auto &Each) {
-      return Each.second.m_Told.m_ToldAt < Asked;
+      return Each.second.m_Holder.m_AnnouncedAt < Asked;
     });
   }
 
 private:
   struct Known {
-    Holder m_Told;
-    std::uint64_t m_LastFailure = 0; ///< its number among all; 0: none
+    Holder m_Holder;
+    std::uint64_t m_LastFailureNumber = 0; ///< sequence number; 0: none
   };
 
-  /// When it failed, whether it is far, and its revision: the least is asked.
+  /// Last failure, remote, negated revision: the smallest is asked next.
   using Order = std::tuple<std::uint64_t, bool, std::int64_t>;
   static Order orderOf(const Known &Of) {
-    return Order(Of.m_LastFailure, !Of.m_Told.m_IsNear,
-                 -static_cast<std::int64_t>(Of.m_Told.m_Has.m_Value));
+    return Order(Of.m_LastFailureNumber, !Of.m_Holder.m_IsNear,
+                 -static_cast<std::int64_t>(Of.m_Holder.m_Has.m_Value));
   }
 
   std::map<std::string, Known> m_ByLink;
-  std::uint64_t m_Failures = 0; ///< of all
+  std::uint64_t m_Failures = 0; ///< of all holders
 };
 
 } // namespace deckpitch
--- a/include/deckpitch/manifest.h
+++ b/include/deckpitch/manifest.h
@@ -1,4 +1,4 @@
-// What a version of weights consists of.
+// The manifest of a version of weights: its chunks and their digests.
 #pragma once
 
 #include "deckpitch/error.h"
@@ -13,7 +13,7 @@
 
 namespace deckpitch {
 
-/// SHA-256.
+/// A SHA-256 digest.
 struct Digest {
   std::array<std::uint8_t, 32> m_Bytes{};
   friend auto operator<=>(const Digest &, const Digest &) = default;
@@ -23,15 +23,16 @@
 std::string toHex(const Digest &Value);
 Result<Digest> parseDigest(std::string_view Hex);
 
-/// Chunks are numbered from 0; all but the last have m_ChunkBytes bytes.
+/// The chunks of a version of weights, numbered from 0. All but the last have
+/// m_ChunkBytes bytes.
 struct Manifest {
   WeightsId m_Weights;
   std::uint64_t m_Bytes = 0;
   std::uint32_t m_ChunkBytes = 0;
-  /// Digest of the concatenated chunk digests: names the whole content.
+  /// Digest of the concatenated chunk digests, which identifies the content.
   Digest m_Whole;
   std::vector<Digest> m_Chunks;
-  WeightsId m_Base; ///< adapters: the weights they are used over
+  WeightsId m_Base; ///< for adapters: the weights they apply to
 
   std::uint32_t chunkCount() const {
     return static_cast<std::uint32_t>(m_Chunks.size());
@@ -44,12 +45,12 @@
   friend bool operator==(const Manifest &, const Manifest &) = default;
 };
 
-/// Reads and checks a manifest (JSON; docs/INTERFACES.md). Errors:
-/// InvalidInput when malformed, CorruptData when the whole digest disagrees.
+/// Parses and validates a manifest in JSON (docs/INTERFACES.md). Errors:
+/// InvalidInput if malformed, CorruptData if the whole digest does not match.
 Result<Manifest> parseManifest(std::string_view Json);
 std::string formatManifest(const Manifest &Value);
 
-/// The digest that a manifest of these chunks must carry.
+/// Computes Manifest::m_Whole of the given chunk digests.
 Digest wholeDigest(const std::vector<Digest> &Chunks);
 
 } // namespace deckpitch
--- a/include/deckpitch/planned-share.h
+++ b/include/deckpitch/planned-share.h
@@ -1,4 +1,4 @@
-// How much of an objective admission plans with.
+// The share of an objective that admission control plans with.
 #pragma once
 
 #include "deckpitch/time.h"
@@ -7,36 +7,36 @@
 
 namespace deckpitch {
 
-/// The load pattern it answers: more requests than the engines can take, for
-/// long. What is admitted then comes at the edge of its objective, and what a
-/// declared profile leaves out (a slow engine, a link that is shared) makes a
-/// third of it late; late answers take the engine time of others that would
-/// have come in time. The share follows the first tokens that are seen, until
-/// one in ten is late.
+/// Adapts the share of the objective that admission plans with under lasting
+/// overload. Admitted requests then finish just within their objective, and any
+/// effect outside the declared profile (a slow engine, a shared link) makes a
+/// third of them late; late answers waste engine time of requests that could
+/// have met theirs. The share follows the observed first tokens until one in
+/// ten is late.
 class PlannedShare {
 public:
   double value() const { return m_Value; }
 
-  /// A first token came that long after its request was sent.
-  void observe(Duration First, Duration Objective) {
-    const double Change =
-        First > Objective ? -Step * (1 - LateShare) : Step * LateShare;
-    m_Value = std::clamp(m_Value + Change, Least, Most);
+  /// Records the time from sending a request to its first token.
+  void observe(Duration FirstToken, Duration Objective) {
+    const double Change = FirstToken > Objective ? -Step * (1 - TargetLateShare)
+                                                 : Step * TargetLateShare;
+    m_Value = std::clamp(m_Value + Change, MinShare, MaxShare);
   }
 
 private:
-  /// Links and reports that are late take the rest where engines keep to their
+  /// Leaves a margin for late links and reports where engines match their
   /// profile.
-  static constexpr double Most = 0.85;
-  /// A pass that is under way and a pass of its own take about half of the
-  /// shortest objectives: with less, idle engines would refuse.
-  static constexpr double Least = 0.5;
-  static constexpr double LateShare = 0.1;
-  /// From the most to the least within some five seconds of overload at an
-  /// entry that passes on twenty requests a second.
+  static constexpr double MaxShare = 0.85;
+  /// The pass in progress and the request's own pass take about half of the
+  /// shortest objectives: with less, idle engines would refuse requests.
+  static constexpr double MinShare = 0.5;
+  static constexpr double TargetLateShare = 0.1;
+  /// Falls from the maximum to the minimum in about five seconds of overload at
+  /// an entry that forwards twenty requests per second.
   static constexpr double Step = 0.02;
 
-  double m_Value = Most;
+  double m_Value = MaxShare;
 };
 
 } // namespace deckpitch
--- a/include/deckpitch/weights-plan.h
+++ b/include/deckpitch/weights-plan.h
@@ -1,4 +1,4 @@
-// What an agent does next so that the instance beside it serves the declared
+// Decides what an agent does next so that its instance serves the declared
 // weights.
 #pragma once
 
@@ -15,58 +15,59 @@
 
 namespace deckpitch {
 
-/// How long before a version's bound an instance with an older one must have
-/// begun the last request that it was sent: beside what it waits there, for the
-/// way to it and for what others have just sent. On a link of 1.2 Mbit/s that
-/// also takes in chunks a request was measured to begin up to 3.2 s after it
-/// was sent.
+/// Time before a version's bound at which an instance with an older version
+/// must have started the last request that was sent to it. Beside the wait at
+/// the instance it covers the transfer and requests that others have just sent.
+/// On a link of 1.2 Mbit/s that receives chunks as well, requests started up
+/// to 3.2 s after they were sent.
 constexpr Duration versionSpare(bool HasSoundLink) {
   return std::chrono::milliseconds(HasSoundLink ? 600 : 3'600);
 }
 
-/// What is known when the next step is decided.
+/// The state from which the next step is decided.
 struct WeightsState {
-  DeclaredWeights m_Wanted;        ///< version 0: none is declared
+  DeclaredWeights m_Wanted;        ///< version 0: none declared
   std::vector<HeldWeights> m_Held; ///< by the instance
   bool m_IsCopyComplete = false;   ///< all chunks are staged
-  bool m_IsBusy = false;           ///< an order is under way
+  bool m_IsBusy = false;           ///< an order is in progress
   std::size_t m_Rank = 0;          ///< of this instance in its pool
   std::size_t m_PoolSize = 1;
-  TimePoint m_DeclaredAt{};                   ///< when the version was heard of
-  TimePoint m_CopiedAt{};                     ///< when the copy became complete
-  Duration m_Bound = std::chrono::seconds(8); ///< declared to served, for all
-  /// Instances with older weights get no requests that long before the bound.
+  TimePoint m_DeclaredAt{}; ///< when the declaration was received
+  TimePoint m_CopiedAt{};   ///< when the copy became complete
+  /// Time from the declaration until all instances serve the version.
+  Duration m_Bound = std::chrono::seconds(8);
+  /// Instances with older weights receive no requests this long before the
+  /// bound.
   Duration m_Spare{};
 
   friend bool operator==(const WeightsState &, const WeightsState &) = default;
 };
 
 enum class WeightsStep {
-  Idle, ///< nothing is declared
-  Copy, ///< fetch what is missing
-  Wait, ///< others swap first, or an order is under way
+  Idle, ///< no weights are declared
+  Copy, ///< fetch missing chunks
+  Wait, ///< others swap first, or an order is in progress
   Load, ///< order the instance to load the staged weights
-  Serve ///< the instance serves what it should
+  Serve ///< the instance serves the declared weights
 };
 
-/// How far a copy is that a newer version has overtaken.
+/// Progress of a copy that is superseded by a newer version.
 struct CopyProgress {
-  std::uint32_t m_Held = 0; ///< chunks
-  std::uint32_t m_All = 0;
-  Duration m_SinceGain{}; ///< since the last chunk came
+  std::uint32_t m_Held = 0; ///< chunks present
+  std::uint32_t m_All = 0;  ///< chunks of the version
+  Duration m_SinceGain{};   ///< since the last chunk arrived
 
   friend bool operator==(const CopyProgress &, const CopyProgress &) = default;
 };
 
-/// Whether the copy is to be finished before that of a newer version begins.
-/// Where versions follow each other as fast as they can be copied, none would
-/// ever be complete otherwise, and all instances be past the bound of the
-/// first one.
+/// Whether to finish the copy before copying a newer version. Otherwise, if new
+/// versions are declared as fast as they can be copied, no copy would ever be
+/// complete and all instances would miss the bound of the first version.
 bool isWorthFinishing(const CopyProgress &Of);
 
 WeightsStep nextWeightsStep(const WeightsState &State, TimePoint Now);
 
-/// One instance of a pool, as far as the order of swaps is concerned.
+/// One instance of a pool, as needed for the swap order.
 struct PoolMember {
   std::string m_Address;
   DataCentreId m_DataCentre;
@@ -74,18 +75,20 @@
   friend bool operator==(const PoolMember &, const PoolMember &) = default;
 };
 
-/// The place of an instance in the order in which the pool swaps. Neighbours in
-/// the order stand in different data centres, so that none is without more of
-/// its instances than the others. The size of the pool for an unknown one.
+/// The rank of an instance in the pool's swap order. Consecutive instances are
+/// in different data centres, so that no data centre has more unavailable
+/// instances than the others. Returns the size of the pool for an unknown
+/// instance.
 std::size_t swapRank(std::vector<PoolMember> Pool, std::string_view Address);
 
-/// When an instance that serves an older version may swap: the pool's swaps
-/// are spread over the time that is left, so that only some are away at once.
+/// The time at which an instance that serves an older version may swap. The
+/// swaps of a pool are spread over the remaining time, so that only a few
+/// instances are unavailable at once.
 TimePoint swapTime(const WeightsState &State);
 
-/// Until the instance is ordered to load the staged weights: zero from when the
-/// order is due, nothing while none is to come. What has not begun there by
-/// then is refused.
+/// Time until the instance is ordered to load the staged weights: zero once the
+/// order is due, nullopt if none is expected. Requests that have not started
+/// there by then are refused.
 std::optional<Duration> timeToSwap(const WeightsState &State, TimePoint Now);
 
 } // namespace deckpitch
--- a/src/kernel/assignment.cc
+++ b/src/kernel/assignment.cc
@@ -10,10 +10,10 @@
 
 struct Candidate {
   const Member *m_Member;
-  std::optional<AssignedPool> m_Was;
+  std::optional<AssignedPool> m_Previous;
 };
 
-/// A pool's wish for instances in one data centre.
+/// The number of instances that a pool needs in one data centre.
 struct Demand {
   const Pool *m_Pool;
   DataCentreId m_DataCentre;
@@ -26,7 +26,7 @@
                                          Value.m_State == MemberState::Suspect);
 }
 
-/// The plan under way; candidates leave the list as they are assigned.
+/// Builds a plan; candidates are removed from the list as they are assigned.
 class Planner {
 public:
   Planner(const DeclarationSet &Declarations, const MembershipView &Members)
@@ -36,10 +36,10 @@
   }
 
   Assignment plan() {
-    keepWhatFits();
+    keepAssigned();
     for (Demand &Each : m_Demands)
       fill(Each);
-    keepSpares();
+    keepSurplus();
     advanceWaves();
     return std::move(m_Out);
   }
@@ -57,8 +57,9 @@
     return Value.m_Kind == PoolKind::Engine ? &Value : nullptr;
   }
 
-  /// Instances beside plain services name their pool in their settings.
-  bool besideService(const Member &Value) const {
+  /// Whether the instance runs a plain service; its pool is set in its
+  /// settings.
+  bool runsPlainService(const Member &Value) const {
     const auto Found = m_Declarations.m_Pools.find(Value.m_Serving.m_Pool);
     return Found != m_Declarations.m_Pools.end() &&
            Found->second.m_Value.m_Kind == PoolKind::Service;
@@ -66,12 +67,12 @@
 
   void gatherCandidates() {
     for (const auto &[Id, Each] : m_Members.m_Members) {
-      if (!mayServe(Each) || besideService(Each))
+      if (!mayServe(Each) || runsPlainService(Each))
         continue;
       Candidate Entry{&Each, std::nullopt};
-      const auto Was = previous().m_Instances.find(Id);
-      if (Was != previous().m_Instances.end())
-        Entry.m_Was = Was->second;
+      const auto Previous = previous().m_Instances.find(Id);
+      if (Previous != previous().m_Instances.end())
+        Entry.m_Previous = Previous->second;
       m_Candidates.push_back(std::move(Entry));
     }
   }
@@ -80,68 +81,70 @@
     for (const auto &[Id, Each] : m_Declarations.m_Pools) {
       if (Each.m_Value.m_Kind != PoolKind::Engine)
         continue;
-      for (const DataCentreReadiness &Wish : Each.m_Value.m_Readiness)
+      for (const DataCentreReadiness &Wanted : Each.m_Value.m_Readiness)
         m_Demands.push_back(
-            {&Each.m_Value, Wish.m_DataCentre, Wish.m_Ready, 0});
+            {&Each.m_Value, Wanted.m_DataCentre, Wanted.m_Ready, 0});
     }
   }
 
-  /// Keeps the instances that a demand already has, best first, up to it.
-  void keepWhatFits() {
+  /// Keeps the instances that each demand already has, best first, up to its
+  /// size.
+  void keepAssigned() {
     std::stable_sort(m_Candidates.begin(), m_Candidates.end(),
                      [](const Candidate &A, const Candidate &B) {
-                       return standing(A) > standing(B);
+                       return health(A) > health(B);
                      });
     for (Demand &Each : m_Demands)
       take(Each, [&](const Candidate &Entry) {
-        return Entry.m_Was && Entry.m_Was->m_Pool == Each.m_Pool->m_Id;
+        return Entry.m_Previous &&
+               Entry.m_Previous->m_Pool == Each.m_Pool->m_Id;
       });
   }
 
-  static std::tuple<bool, bool> standing(const Candidate &Entry) {
+  static std::tuple<bool, bool> health(const Candidate &Entry) {
     return {Entry.m_Member->m_State == MemberState::Alive,
             Entry.m_Member->m_Serving.m_Ready};
   }
 
-  /// Fills a demand: holders of the weights, then unassigned instances, then
-  /// those whose pool has no use for them.
-  void fill(Demand &Wish) {
-    const WeightsId Weights = weightsOf(*Wish.m_Pool);
-    take(Wish, [&](const Candidate &Entry) {
+  /// Fills a demand with holders of the weights, then unassigned instances,
+  /// then those that their pool does not need.
+  void fill(Demand &Wanted) {
+    const WeightsId Weights = weightsOf(*Wanted.m_Pool);
+    take(Wanted, [&](const Candidate &Entry) {
       return Entry.m_Member->m_Serving.m_Weights == Weights;
     });
-    take(Wish, [](const Candidate &Entry) { return !Entry.m_Was; });
-    take(Wish, [](const Candidate &) { return true; });
+    take(Wanted, [](const Candidate &Entry) { return !Entry.m_Previous; });
+    take(Wanted, [](const Candidate &) { return true; });
   }
 
-  template <typename Fits> void take(Demand &Wish, Fits Fitting) {
+  template <typename Predicate> void take(Demand &Wanted, Predicate Matches) {
     for (auto It = m_Candidates.begin(); It != m_Candidates.end();) {
-      if (Wish.m_Granted == Wish.m_Ready)
+      if (Wanted.m_Granted == Wanted.m_Ready)
         return;
       const bool Taken =
-          It->m_Member->m_DataCentre == Wish.m_DataCentre && Fitting(*It);
+          It->m_Member->m_DataCentre == Wanted.m_DataCentre && Matches(*It);
       if (!Taken) {
         ++It;
         continue;
       }
-      assign(*It, *Wish.m_Pool);
-      ++Wish.m_Granted;
+      assign(*It, *Wanted.m_Pool);
+      ++Wanted.m_Granted;
       It = m_Candidates.erase(It);
     }
   }
 
-  /// An instance that comes to a pool starts with the declared weights, or,
-  /// while the pool is paused, with those most of the pool may activate.
+  /// An instance that joins a pool starts with the declared weights or, while
+  /// the pool is paused, with those that most of the pool may activate.
   void assign(const Candidate &Entry, const Pool &To) {
     AssignedPool Next{To.m_Id, weightsOf(To)};
-    if (Entry.m_Was && Entry.m_Was->m_Pool == To.m_Id)
-      Next.m_Weights = Entry.m_Was->m_Weights;
+    if (Entry.m_Previous && Entry.m_Previous->m_Pool == To.m_Id)
+      Next.m_Weights = Entry.m_Previous->m_Weights;
     else if (To.m_Paused)
-      Next.m_Weights = heldWeights(To);
+      Next.m_Weights = currentWeights(To);
     m_Out.m_Instances.emplace(Entry.m_Member->m_Id, std::move(Next));
   }
 
-  WeightsId heldWeights(const Pool &Of) const {
+  WeightsId currentWeights(const Pool &Of) const {
     std::map<WeightsId, std::size_t> Counts;
     for (const auto &[Id, Each] : previous().m_Instances)
       if (Each.m_Pool == Of.m_Id)
@@ -152,12 +155,12 @@
     return Most == Counts.end() ? weightsOf(Of) : Most->first;
   }
 
-  void keepSpares() {
+  void keepSurplus() {
     for (const Candidate &Each : m_Candidates) {
-      if (!Each.m_Was)
+      if (!Each.m_Previous)
         continue;
-      if (const Pool *Still = enginePool(Each.m_Was->m_Pool))
-        assign(Each, *Still);
+      if (const Pool *Current = enginePool(Each.m_Previous->m_Pool))
+        assign(Each, *Current);
     }
     m_Candidates.clear();
   }
@@ -168,7 +171,8 @@
         advance(Each.m_Value);
   }
 
-  /// Instances whose engine must drain before it can swap wait for their turn.
+  /// Advances the pool's weights. Instances whose engine must drain before the
+  /// swap are limited by m_MaxUnavailable.
   void advance(const Pool &Of) {
     const WeightsId Target = weightsOf(Of);
     std::uint32_t Unavailable = 0;
@@ -177,15 +181,15 @@
       if (Each.m_Pool != Of.m_Id)
         continue;
       const ServingReport &Serving = m_Members.m_Members.at(Id).m_Serving;
-      const bool Counts = !Serving.m_Ready || Serving.m_Pool != Of.m_Id;
+      const bool IsUnavailable = !Serving.m_Ready || Serving.m_Pool != Of.m_Id;
       if (Each.m_Weights == Target) {
-        Unavailable += Counts || Serving.m_Weights != Target;
+        Unavailable += IsUnavailable || Serving.m_Weights != Target;
         continue;
       }
-      // Nothing is lost by changing what serves nothing.
-      if (Counts || Serving.m_Condition == ConditionLoaded) {
+      // Instances that serve nothing, or can swap at once, need not wait.
+      if (IsUnavailable || Serving.m_Condition == ConditionLoaded) {
         Each.m_Weights = Target;
-        Unavailable += Counts;
+        Unavailable += IsUnavailable;
         continue;
       }
       if (Serving.m_Condition == ConditionStaged)
@@ -215,7 +219,7 @@
 
 bool mayPlan(const Assignment &InForce, const MembershipView &Members,
              Duration SinceTakeover) {
-  if (SinceTakeover >= SettlingLimit)
+  if (SinceTakeover >= MaxSettlingTime)
     return true;
   const auto IsKnown = [&Members](const auto &Each) {
     return Members.m_Members.contains(Each.first);
--- a/src/kernel/rollout.cc
+++ b/src/kernel/rollout.cc
@@ -21,7 +21,7 @@
   return Copy && Copy->m_Base == Weights;
 }
 
-/// Weights that neither serve nor are wanted, if the engine holds any.
+/// Finds loaded weights that are neither active nor needed.
 const LoadedWeights *findUnwanted(const InstanceGoal &Goal,
                                   const EngineStatus &Engine,
                                   const std::vector<CopyState> &Copies) {
@@ -39,7 +39,8 @@
   return nullptr;
 }
 
-/// Adapters ("model+adapter@version") are held within their base's slot.
+/// Counts used slots. Adapters ("model+adapter@version") share the slot of
+/// their base.
 std::size_t slotsUsed(const EngineStatus &Engine) {
   return static_cast<std::size_t>(std::count_if(
       Engine.m_Loaded.begin(), Engine.m_Loaded.end(),
@@ -48,7 +49,8 @@
       }));
 }
 
-/// Brings weights into a slot. MayDrain: the serving weights may go for it.
+/// The next step to load weights into a slot. MayDrain allows the active
+/// weights to be unloaded for it.
 RolloutStep stepTowards(const WeightsId &Wanted, bool MayDrain,
                         const InstanceGoal &Goal, const EngineStatus &Engine,
                         const std::vector<CopyState> &Copies, bool Ready,
@@ -56,12 +58,12 @@
   const CopyState *Copy = findCopy(Copies, Wanted);
   if (!Copy || !Copy->m_Complete)
     return {StepKind::Copy, Wanted, Ready, "Copying"};
-  // An adapter takes no slot of its own, but needs its base in one.
+  // An adapter needs no slot of its own, but its base must be loaded.
   const bool IsAdapter = !Copy->m_Base.empty();
   if (IsAdapter && !Engine.find(Copy->m_Base))
     return stepTowards(Copy->m_Base, MayDrain, Goal, Engine, Copies, Ready,
                        InFlight);
-  // Other content that is in use under this name has to go first.
+  // Active weights with this name but another digest must be unloaded first.
   const LoadedWeights *Other = Engine.find(Wanted);
   const bool InUse = Other && Other->m_Active;
   if (!InUse && (IsAdapter || slotsUsed(Engine) < Engine.m_Slots || Other))
@@ -75,23 +77,23 @@
       InFlight > 0 || Engine.m_Running > 0 || Engine.m_Waiting > 0;
   if (Active && Busy)
     return {StepKind::Drain, Active->m_Weights, false, "Draining"};
-  const WeightsId &Victim =
+  const WeightsId &Evicted =
       Active ? Active->m_Weights : Engine.m_Loaded.front().m_Weights;
-  return {StepKind::Unload, Victim, false, "Draining"};
+  return {StepKind::Unload, Evicted, false, "Draining"};
 }
 
-/// The engine holds these weights with the digest that their manifest names.
-/// Without a manifest at hand only those are taken that serve already: they
-/// were activated by their digest before this agent was restarted.
-const LoadedWeights *findGenuine(const WeightsId &Weights,
-                                 const EngineStatus &Engine,
-                                 const std::vector<CopyState> &Copies) {
+/// Finds loaded weights whose digest matches their manifest. Without a manifest
+/// only active weights are accepted: they were activated by their digest before
+/// the agent restarted.
+const LoadedWeights *findVerified(const WeightsId &Weights,
+                                  const EngineStatus &Engine,
+                                  const std::vector<CopyState> &Copies) {
   const LoadedWeights *Held = Engine.find(Weights);
   const CopyState *Copy = findCopy(Copies, Weights);
   if (!Held)
     return nullptr;
-  const bool Genuine = Copy ? Held->m_Digest == Copy->m_Whole : Held->m_Active;
-  return Genuine ? Held : nullptr;
+  const bool Verified = Copy ? Held->m_Digest == Copy->m_Whole : Held->m_Active;
+  return Verified ? Held : nullptr;
 }
 
 } // namespace
@@ -123,11 +125,11 @@
   if (Goal.m_Pool.empty())
     return {StepKind::Idle, {}, false, "Unassigned"};
   const LoadedWeights *Active = Engine.active();
-  const LoadedWeights *Genuine = findGenuine(Goal.m_Activate, Engine, Copies);
-  if (Genuine && Genuine->m_Active) {
+  const LoadedWeights *Verified = findVerified(Goal.m_Activate, Engine, Copies);
+  if (Verified && Verified->m_Active) {
     if (Goal.m_Prefetch == Goal.m_Activate || Goal.m_Prefetch.empty())
       return {StepKind::Serve, Goal.m_Activate, true, "Serving"};
-    if (findGenuine(Goal.m_Prefetch, Engine, Copies))
+    if (findVerified(Goal.m_Prefetch, Engine, Copies))
       return {StepKind::Idle, Goal.m_Prefetch, true, "Loaded"};
     return stepTowards(Goal.m_Prefetch, false, Goal, Engine, Copies, true,
                        InFlight);
@@ -140,7 +142,7 @@
     return stepTowards(Goal.m_Prefetch, false, Goal, Engine, Copies, Ready,
                        InFlight);
   }
-  if (Genuine)
+  if (Verified)
     return {StepKind::Activate, Goal.m_Activate, Ready, "Activating"};
   return stepTowards(Goal.m_Activate, true, Goal, Engine, Copies, Ready,
                      InFlight);
--- a/src/kernel/weights-plan.cc
+++ b/src/kernel/weights-plan.cc
@@ -7,15 +7,16 @@
 
 namespace {
 
-/// Within which an order is sent and in force after it is due.
-constexpr Duration SwapTime = std::chrono::milliseconds(200);
-/// From an order's time to the order: for the check of what is staged. One that
-/// takes longer is held up, and the instance serves on meanwhile.
-constexpr Duration LongestDue = std::chrono::milliseconds(1'000);
-/// Of a copy's chunks: what is missing then comes sooner than all of the next.
-constexpr double WorthFinishing = 0.25;
-/// Several times what one chunk takes: no more are coming.
-constexpr Duration CopyStalled = std::chrono::milliseconds(1'500);
+/// Time for a due order to be sent and take effect.
+constexpr Duration SwapDuration = std::chrono::milliseconds(200);
+/// Maximum delay of a due order, for the check of the staged chunks. An order
+/// that takes longer is held up, and the instance keeps serving meanwhile.
+constexpr Duration MaxOrderDelay = std::chrono::milliseconds(1'000);
+/// Minimum share of a copy's chunks: the missing ones then arrive sooner than
+/// all chunks of the next version.
+constexpr double WorthFinishingShare = 0.25;
+/// A copy without a chunk for this long, several chunk times, is stalled.
+constexpr Duration CopyStallTimeout = std::chrono::milliseconds(1'500);
 
 bool holds(const WeightsState &State) {
   return std::any_of(
@@ -35,7 +36,7 @@
 } // namespace
 
 std::size_t swapRank(std::vector<PoolMember> Pool, std::string_view Address) {
-  struct Place {
+  struct Position {
     double m_InDataCentre = 0; ///< from 0 to 1
     const PoolMember *m_Member = nullptr;
   };
@@ -46,36 +47,37 @@
   std::map<DataCentreId, std::vector<const PoolMember *>> ByDataCentre;
   for (const PoolMember &Each : Pool)
     ByDataCentre[Each.m_DataCentre].push_back(&Each);
-  std::vector<Place> Order;
+  std::vector<Position> Order;
   for (const auto &[Id, Members] : ByDataCentre)
     for (std::size_t I = 0; I < Members.size(); ++I)
       Order.push_back(
           {static_cast<double>(I) / static_cast<double>(Members.size()),
            Members[I]});
   std::stable_sort(Order.begin(), Order.end(),
-                   [](const Place &Left, const Place &Right) {
+                   [](const Position &Left, const Position &Right) {
                      return Left.m_InDataCentre < Right.m_InDataCentre;
                    });
   const auto At =
-      std::find_if(Order.begin(), Order.end(), [Address](const Place &Each) {
+      std::find_if(Order.begin(), Order.end(), [Address](const Position &Each) {
         return Each.m_Member->m_Address == Address;
       });
   return static_cast<std::size_t>(At - Order.begin());
 }
 
 TimePoint swapTime(const WeightsState &State) {
-  const double Place =
+  const double Position =
       static_cast<double>(State.m_Rank) /
       static_cast<double>(std::max<std::size_t>(State.m_PoolSize, 1));
   const TimePoint Last =
-      State.m_DeclaredAt + State.m_Bound - State.m_Spare - SwapTime;
+      State.m_DeclaredAt + State.m_Bound - State.m_Spare - SwapDuration;
   const Duration Left = std::max(Last - State.m_CopiedAt, Duration::zero());
   return State.m_CopiedAt + Duration(static_cast<Duration::rep>(
-                                Place * static_cast<double>(Left.count())));
+                                Position * static_cast<double>(Left.count())));
 }
 
 bool isWorthFinishing(const CopyProgress &Of) {
-  return Of.m_Held >= WorthFinishing * Of.m_All && Of.m_SinceGain < CopyStalled;
+  return Of.m_Held >= WorthFinishingShare * Of.m_All &&
+         Of.m_SinceGain < CopyStallTimeout;
 }
 
 WeightsStep nextWeightsStep(const WeightsState &State, TimePoint Now) {
@@ -87,17 +89,17 @@
     return WeightsStep::Copy;
   if (State.m_IsBusy)
     return WeightsStep::Wait;
-  // An empty instance serves nobody: it has nothing to wait for.
+  // An instance without weights serves no requests, so it need not wait.
   const bool IsEarly = servesOlder(State) && Now < swapTime(State);
   return IsEarly ? WeightsStep::Wait : WeightsStep::Load;
 }
 
 std::optional<Duration> timeToSwap(const WeightsState &State, TimePoint Now) {
   const WeightsStep Next = nextWeightsStep(State, Now);
-  // The staged chunks are checked before the order: an instance that seemed
-  // never to swap until then drew the streams of all others.
+  // Covers the check of the staged chunks before the order: without a time here
+  // the instance seemed not to swap at all and drew the streams of all others.
   if (Next == WeightsStep::Load) {
-    const bool IsHeldUp = Now - swapTime(State) > LongestDue;
+    const bool IsHeldUp = Now - swapTime(State) > MaxOrderDelay;
     return IsHeldUp ? std::nullopt : std::optional(Duration::zero());
   }
   if (Next != WeightsStep::Wait || State.m_IsBusy)
--- a/test/assignment-test.cc
+++ b/test/assignment-test.cc
@@ -64,7 +64,7 @@
   EXPECT_TRUE(Plan.m_Instances.contains(InstanceId{"d"}));
 }
 
-TEST(Assignment, IsStable) {
+TEST(Assignment, MovesNoInstanceWithoutNeed) {
   World Under;
   Under.pool("chat", "1", {{DataCentreId{"lahore"}, 2}});
   Under.pool("code", "7", {{DataCentreId{"lahore"}, 1}});
@@ -100,7 +100,7 @@
   EXPECT_TRUE(Plan.m_Instances.contains(InstanceId{"b"}));
 }
 
-TEST(Assignment, SwapsWithoutAGapAllAtOnce) {
+TEST(Assignment, SwapsWithoutDowntimeHappenAllAtOnce) {
   World Under;
   Under.pool("chat", "2", {{DataCentreId{"lahore"}, 3}});
   for (const char *Name : {"a", "b", "c"})
@@ -108,7 +108,7 @@
   EXPECT_EQ(countOf(Under.plan(), {PoolId{"chat"}, New}), 3U);
 }
 
-TEST(Assignment, DrainsAtMostAsManyAsMayBeUnavailable) {
+TEST(Assignment, DrainsAtMostMaxUnavailable) {
   World Under;
   Under.pool("chat", "2", {{DataCentreId{"lahore"}, 4}}).m_MaxUnavailable = 2;
   for (const char *Name : {"a", "b", "c", "d"})
@@ -117,7 +117,7 @@
   Under.m_Declarations.m_Assignment.m_Value = Under.plan();
   EXPECT_EQ(countOf(Under.m_Declarations.m_Assignment.m_Value, Target), 2U);
   EXPECT_EQ(countOf(Under.plan(), Target), 2U);
-  // One of the two comes back with the new weights: the next may go.
+  // One of the two serves the new weights, so the next may drain.
   for (auto &[Id, Each] : Under.assignments())
     if (Each == Target) {
       Under.m_Members.m_Members.at(Id).m_Serving.m_Weights = New;
@@ -126,7 +126,7 @@
   EXPECT_EQ(countOf(Under.plan(), Target), 3U);
 }
 
-TEST(Assignment, APausedPoolHolds) {
+TEST(Assignment, APausedPoolKeepsItsWeights) {
   World Under;
   Under.pool("chat", "2", {{DataCentreId{"lahore"}, 2}}).m_Paused = true;
   for (const char *Name : {"a", "b"})
@@ -142,27 +142,27 @@
   EXPECT_EQ(countOf(Under.plan(), {PoolId{"chat"}, Old}), 1U);
 }
 
-TEST(Assignment, ANewDeciderWaitsForTheInstancesThatServe) {
+TEST(Assignment, ANewDeciderWaitsForAssignedInstances) {
   World Under;
   Under.pool("chat", "1", {{DataCentreId{"lahore"}, 2}});
   Under.serving("a", "lahore", "Serving");
   Under.serving("b", "lahore", "Serving");
-  const auto Unheard = Under.m_Members.m_Members.extract(InstanceId{"b"});
+  const auto Missing = Under.m_Members.m_Members.extract(InstanceId{"b"});
   const Assignment &InForce = Under.m_Declarations.m_Assignment.m_Value;
   const auto May = [&](std::chrono::milliseconds SinceTakeover) {
     return mayPlan(InForce, Under.m_Members, SinceTakeover);
   };
-  // What it would do now: b is not heard yet, and loses its place.
+  // Planning now would drop b, which has not reported yet.
   EXPECT_FALSE(Under.plan().m_Instances.contains(InstanceId{"b"}));
   EXPECT_FALSE(May(std::chrono::milliseconds(0)));
-  EXPECT_FALSE(May(SettlingLimit - std::chrono::milliseconds(1)));
-  EXPECT_TRUE(May(SettlingLimit));
+  EXPECT_FALSE(May(MaxSettlingTime - std::chrono::milliseconds(1)));
+  EXPECT_TRUE(May(MaxSettlingTime));
   Under.agent("b", "lahore").m_State = MemberState::Suspect;
   EXPECT_TRUE(May(std::chrono::milliseconds(0)));
   EXPECT_TRUE(Under.plan().m_Instances.contains(InstanceId{"b"}));
 }
 
-TEST(Assignment, TheFirstPlanWaitsForNobody) {
+TEST(Assignment, TheFirstPlanDoesNotWait) {
   World Under;
   Under.pool("chat", "1", {{DataCentreId{"lahore"}, 2}});
   Under.agent("a", "lahore");
--- a/test/planned-share-test.cc
+++ b/test/planned-share-test.cc
@@ -9,8 +9,9 @@
 
 constexpr Duration Objective = 300ms;
 
-/// First tokens at engines that are loaded up to what is planned, and that take
-/// longer than declared: by a factor, and by up to a fifth either way.
+/// Returns the share of late first tokens at engines that are loaded as planned
+/// but take Factor times the declared time, with a spread of a fifth either
+/// way.
 double lateShare(PlannedShare &Share, double Factor, int Requests) {
   int Late = 0;
   for (int I = 0; I < Requests; ++I) {
@@ -24,22 +25,22 @@
   return static_cast<double>(Late) / Requests;
 }
 
-TEST(PlannedShare, EnginesThatKeepToTheirProfileAreUsedToTheFull) {
+TEST(PlannedShare, EnginesThatMatchTheirProfileKeepTheFullShare) {
   PlannedShare Share;
   const double AtFirst = Share.value();
   EXPECT_EQ(lateShare(Share, 0.9, 1'000), 0);
   EXPECT_EQ(Share.value(), AtFirst);
 }
 
-TEST(PlannedShare, UnderLastingOverloadAboutOneInTenIsLate) {
+TEST(PlannedShare, AboutOneInTenIsLateUnderLastingOverload) {
   PlannedShare Share;
-  // Without following, a third and more would be.
+  // Without adaptation a third or more would be late.
   EXPECT_GT(lateShare(Share, 1.5, 100), 0.15);
   EXPECT_LT(lateShare(Share, 1.5, 1'000), 0.13);
   EXPECT_LT(Share.value(), 0.7);
 }
 
-TEST(PlannedShare, ComesBackWhenTheOverloadHasEnded) {
+TEST(PlannedShare, RecoversAfterTheOverload) {
   PlannedShare Share;
   const double AtFirst = Share.value();
   lateShare(Share, 1.6, 500);
@@ -48,7 +49,7 @@
   EXPECT_EQ(Share.value(), AtFirst);
 }
 
-TEST(PlannedShare, IdleEnginesAreUsedWhateverWasSeen) {
+TEST(PlannedShare, NeverFallsBelowWhatIdleEnginesNeed) {
   PlannedShare Share;
   for (int I = 0; I < 1'000; ++I)
     Share.observe(10s, Objective);
--- a/test/rollout-test.cc
+++ b/test/rollout-test.cc
@@ -39,7 +39,7 @@
 const LoadedWeights OldActive{Old, digestNamed(1), true};
 const LoadedWeights NewLoaded{New, digestNamed(2), false};
 
-TEST(Rollout, TwoSlotsSwapWithoutAGap) {
+TEST(Rollout, TwoSlotsSwapWithoutDowntime) {
   const InstanceGoal Prefetch = goal(Old, New);
   EXPECT_EQ(nextStep(Prefetch, engine(2, {OldActive}), {}, ServedOld, 5),
             (RolloutStep{StepKind::Copy, New, true, "Copying"}));
@@ -54,7 +54,7 @@
             (RolloutStep{StepKind::Activate, New, true, "Activating"}));
 }
 
-TEST(Rollout, OneSlotDrainsOnlyWhenItMayActivate) {
+TEST(Rollout, OneSlotDrainsOnlyForWeightsToActivate) {
   const std::vector Copies{copyOf(New, true)};
   const EngineStatus One = engine(1, {OldActive});
   EXPECT_EQ(nextStep(goal(Old, New), One, Copies, ServedOld, 0),
@@ -65,7 +65,7 @@
             (RolloutStep{StepKind::Unload, Old, false, "Draining"}));
 }
 
-TEST(Rollout, RequestsTheEngineStillRunsHoldTheUnload) {
+TEST(Rollout, RunningRequestsDelayTheUnload) {
   EngineStatus One = engine(1, {OldActive});
   One.m_Running = 1;
   EXPECT_EQ(
--- a/test/weights-plan-test.cc
+++ b/test/weights-plan-test.cc
@@ -17,7 +17,7 @@
   Out.m_PoolSize = 10;
   Out.m_DeclaredAt = Start;
   Out.m_CopiedAt = Start + 2s;
-  Out.m_Spare = 1'800ms; // With the order's own time, 2 s of the bound of 8 s.
+  Out.m_Spare = 1'800ms; // 2 s of the bound of 8 s, with the order's 200 ms.
   return Out;
 }
 
@@ -34,7 +34,7 @@
   EXPECT_EQ(nextWeightsStep({}, Start), WeightsStep::Idle);
 }
 
-TEST(WeightsPlan, ALaterPlaceInThePoolSwapsLater) {
+TEST(WeightsPlan, AHigherRankSwapsLater) {
   WeightsState State = copied();
   State.m_Rank = 5;
   EXPECT_EQ(swapTime(State), Start + 4s);
@@ -42,16 +42,16 @@
   EXPECT_EQ(nextWeightsStep(State, Start + 4s), WeightsStep::Load);
 }
 
-/// Entries send to instances that last until a request has ended, where there
-/// are any. While an agent checked the staged chunks, after its turn had come
-/// and before the order, its instance counted as one that does not swap at all.
-TEST(WeightsPlan, AnOrderThatIsDueIsToldUntilItIsSent) {
+/// Entries prefer instances that stay available until a request ends. An
+/// instance whose agent was still checking the staged chunks of a due order
+/// counted as one that does not swap at all.
+TEST(WeightsPlan, ADueOrderIsReportedUntilItIsSent) {
   WeightsState State = copied();
   State.m_Rank = 5;
   EXPECT_EQ(timeToSwap(State, Start + 3s), 1s);
   EXPECT_EQ(timeToSwap(State, Start + 4s), 0s);
   EXPECT_EQ(timeToSwap(State, Start + 5s), 0s);
-  // Something holds it up: an instance that serves is not to stand idle.
+  // The order is held up: a serving instance must not stay without requests.
   EXPECT_EQ(timeToSwap(State, Start + 5'001ms), std::nullopt);
   State.m_IsBusy = true;
   EXPECT_EQ(timeToSwap(State, Start + 5s), std::nullopt);
@@ -75,7 +75,7 @@
   EXPECT_LT(Last, Start + State.m_Bound - State.m_Spare);
 }
 
-TEST(WeightsPlan, NeighboursInTheOrderStandInDifferentDataCentres) {
+TEST(WeightsPlan, ConsecutiveRanksAreInDifferentDataCentres) {
   const std::vector<PoolMember> Pool{{"10.1.0.1", {"a"}}, {"10.1.0.2", {"a"}},
                                      {"10.1.0.3", {"a"}}, {"10.1.0.4", {"a"}},
                                      {"10.2.0.1", {"b"}}, {"10.2.0.2", {"b"}}};
@@ -88,31 +88,31 @@
   EXPECT_EQ(swapRank(Pool, "10.9.0.1"), Pool.size());
 }
 
-TEST(WeightsPlan, FinishesACopyThatIsUnderWayBeforeTheNext) {
+TEST(WeightsPlan, FinishesAnAdvancedCopyBeforeTheNext) {
   EXPECT_TRUE(isWorthFinishing({45, 48, 100ms}));
   EXPECT_TRUE(isWorthFinishing({12, 48, 100ms}));
   EXPECT_FALSE(isWorthFinishing({11, 48, 100ms}));
-  EXPECT_FALSE(isWorthFinishing({47, 48, 1'500ms})); // Nothing comes any more.
+  EXPECT_FALSE(isWorthFinishing({47, 48, 1'500ms})); // stalled
 }
 
-TEST(WeightsPlan, AnEmptyInstanceWaitsForNobody) {
+TEST(WeightsPlan, AnEmptyInstanceDoesNotWait) {
   WeightsState State = copied();
   State.m_Rank = 9;
   State.m_Held.clear();
   EXPECT_EQ(nextWeightsStep(State, Start + 2s), WeightsStep::Load);
-  // Some layers are no model: it serves nobody either.
+  // With incomplete layers it serves no requests either.
   State.m_Held = {{"m", 1, false}};
   EXPECT_EQ(nextWeightsStep(State, Start + 2s), WeightsStep::Load);
 }
 
-TEST(WeightsPlan, ALateCopyDoesNotWaitForItsPlace) {
+TEST(WeightsPlan, ALateCopyDoesNotWaitForItsRank) {
   WeightsState State = copied();
   State.m_Rank = 9;
   State.m_CopiedAt = Start + 6s;
   EXPECT_EQ(nextWeightsStep(State, Start + 6s), WeightsStep::Load);
 }
 
-TEST(WeightsPlan, AnotherModelsWeightsDoNotCount) {
+TEST(WeightsPlan, WeightsOfAnotherModelDoNotCount) {
   WeightsState State = copied();
   State.m_Held = {{"other", 9, true}};
   EXPECT_EQ(nextWeightsStep(State, Start + 2s), WeightsStep::Load);
