--- a/include/deckpitch/call-records.h
+++ b/include/deckpitch/call-records.h
@@ -1,4 +1,4 @@
-// What an agent remembers of keyed calls, so that none runs twice.
+// An agent's records of keyed calls, which ensure that none runs twice.
 #pragma once
 
 #include "deckpitch/time.h"
@@ -11,7 +11,7 @@
 
 namespace deckpitch {
 
-/// A whole answer, kept for callers who ask again.
+/// A complete answer, kept for callers that repeat their request.
 struct StoredAnswer {
   unsigned m_Status = 200;
   std::string m_ContentType;
@@ -24,60 +24,60 @@
 struct KeyedRun {
   std::string m_Key;
   std::uint32_t m_Attempt = 1;
-  std::uint64_t m_Ticket = 0; ///< this agent's clock, in milliseconds
+  std::uint64_t m_Ticket = 0; ///< time of this agent's clock in milliseconds
 
   friend bool operator==(const KeyedRun &, const KeyedRun &) = default;
 };
 
-/// Whether a run that arrives may start.
+/// Whether an arriving run may start.
 enum class RunAdmission {
   Start,
-  Refused,   ///< it has not run and never will
-  Duplicate, ///< it, or another run of the key, may have run
+  Refused,   ///< the run has not started and never will
+  Duplicate, ///< this or another run of the key may have started
 };
 
 enum class RunState {
-  NeverRan, ///< and never will: fenced
+  NeverRan, ///< fenced, so it never will
   Running,
   Done,
-  Unknown, ///< may have run
+  Unknown, ///< may have started
 };
 
 struct RecordSettings {
-  /// A run whose ticket is older is refused.
-  Duration m_TicketLife = std::chrono::seconds(30);
-  /// Ended runs are remembered for so long; longer than claims are.
+  /// Maximum age of the ticket of a run; older ones are refused.
+  Duration m_TicketLifetime = std::chrono::seconds(30);
+  /// Time for which ended runs are kept; longer than claims are.
   Duration m_Retention = std::chrono::minutes(12);
   std::size_t m_MaxRecords = 100'000;
-  std::size_t m_MaxAnswerBytes = std::size_t{32} * 1024; ///< of one answer kept
+  std::size_t m_MaxAnswerBytes = std::size_t{32} * 1024; ///< per stored answer
   std::size_t m_MaxStoredBytes =
-      std::size_t{32} * 1024 * 1024; ///< of all answers kept
+      std::size_t{32} * 1024 * 1024; ///< of all stored answers
 };
 
-/// Decides which keyed runs may start. One agent has one; it is empty at each
-/// of the agent's lives, and a claim names the life.
+/// Decides which keyed runs may start. Each agent has one. The records are lost
+/// when the agent restarts, which is safe since a claim names the incarnation.
 class CallRecords {
 public:
   explicit CallRecords(RecordSettings Settings = {}) : m_Settings(Settings) {}
 
-  /// The value of a ticket given out now.
+  /// The value of a ticket issued at Now.
   static std::uint64_t ticketAt(TimePoint Now);
 
-  /// A run that may start counts as running from now on.
+  /// Decides whether a run may start; if so, it counts as running from Now on.
   RunAdmission admit(const KeyedRun &Run, TimePoint Now);
-  /// It ran, and this is its answer, if that is to be kept.
+  /// Records that the run completed, with its answer if that is to be kept.
   void done(const std::string &Key, TimePoint Now,
             std::optional<StoredAnswer> Answer = std::nullopt);
-  /// It certainly did not run: the service was not reached.
+  /// Records that the run did not happen: the service was not reached.
   void neverRan(const std::string &Key, TimePoint Now);
-  /// It may have run: the service's answer was lost.
+  /// Records that the run may have happened: the service's answer was lost.
   void lost(const std::string &Key, TimePoint Now);
 
-  /// Whether that run may still arrive: nothing is known of it yet.
+  /// Whether the run may still arrive, that is, nothing is known of it yet.
   bool isAwaited(const KeyedRun &Run) const;
-  /// Rules out the run if it has not started, and tells what is known of it.
+  /// Prevents the run if it has not started, and returns its state.
   RunState fence(const KeyedRun &Run, TimePoint Now);
-  /// The answer of a run that is done; nothing when it was too large to keep.
+  /// The answer of a completed run; nullopt if it was not kept.
   std::optional<StoredAnswer> answerOf(const std::string &Key) const;
 
   std::size_t size() const { return m_Records.size(); }
@@ -91,7 +91,7 @@
     TimePoint m_Ended;
   };
 
-  bool makeRoom(TimePoint Now);
+  bool evictExpired(TimePoint Now);
   void end(const std::string &Key, RunState State, TimePoint Now);
   void evict(const std::string &Key, TimePoint Ended);
 
@@ -99,7 +99,7 @@
   std::map<std::string, Record> m_Records;
   std::deque<std::pair<TimePoint, std::string>> m_Ended;
   std::size_t m_StoredBytes = 0;
-  /// No record of a run with a ticket of this or later was dropped.
+  /// No record of a run with this or a later ticket was evicted.
   std::uint64_t m_CompleteSince = 0;
 };
 
--- a/include/deckpitch/claims.h
+++ b/include/deckpitch/claims.h
@@ -1,10 +1,11 @@
-// At most one run for a key: the log of claims in the platform.
+// The log of claims in the platform's object store. It ensures that a keyed
+// call runs at most once.
 //
-// A shard's log is the objects <shard>-1, <shard>-2, ... Each holds a batch
-// of claims and is created conditionally, so for each number one entry wins
-// and everybody reads the same order. An entry appends at number n only when
-// it knows all objects below n; so a key has been claimed by whoever comes
-// first in the log, without any other agreement between entries.
+// The log of a shard consists of the objects <shard>-1, <shard>-2, ... Each
+// holds a batch of claims and is created conditionally, so exactly one entry
+// wins each number and all entries read the same order. An entry appends at
+// number n only if it knows all objects below n. A key is therefore claimed by
+// the first claim in the log, without any other consensus between entries.
 #pragma once
 
 #include "deckpitch/error.h"
@@ -22,23 +23,23 @@
 
 namespace deckpitch {
 
-/// One run of a keyed call: who may run it.
+/// The right of one instance to run a keyed call.
 struct Claim {
   std::string m_Key; ///< digest of organisation, pool and caller's key
   InstanceId m_Instance;
   Incarnation m_Incarnation;
-  /// The instance's own clock in milliseconds, as the claimer last heard it;
-  /// the instance refuses a run whose ticket is old.
+  /// Time of the instance's clock in milliseconds, as last received by the
+  /// claimer. The instance refuses a run whose ticket has expired.
   std::uint64_t m_Ticket = 0;
-  /// Grows when an earlier claim was fenced before it ran.
+  /// Incremented when the previous claim was fenced before it ran.
   std::uint32_t m_Attempt = 1;
 
   friend bool operator==(const Claim &, const Claim &) = default;
 };
 
-/// What one object of the log holds.
+/// The content of one object of the log.
 struct ClaimBatch {
-  std::string m_Id; ///< tells one's own batch when an answer was lost
+  std::string m_Id; ///< identifies an own batch after a lost response
   std::vector<Claim> m_Claims;
 
   friend bool operator==(const ClaimBatch &, const ClaimBatch &) = default;
@@ -47,13 +48,13 @@
 Result<ClaimBatch> parseClaimBatch(std::string_view Json);
 std::string formatClaimBatch(const ClaimBatch &Value);
 
-/// Names the key within the log: callers' keys never leave the entry.
+/// The key within the log, a digest: callers' keys never leave the entry.
 std::string claimKeyOf(const OrganisationId &Organisation, const PoolId &Pool,
                        std::string_view CallerKey);
 
 std::uint32_t shardOf(std::string_view Key, std::uint32_t Shards);
 
-/// The place of a batch: object "<shard>-<number>" of kind "claims".
+/// The position of a batch: object "<shard>-<number>" of kind "claims".
 struct LogPosition {
   std::uint32_t m_Shard = 0;
   std::uint64_t m_Number = 0;
@@ -73,29 +74,29 @@
 };
 
 struct ClaimLogSettings {
-  /// Claims, and the objects that hold them, are kept for so long after this
-  /// process first saw them.
+  /// Time for which claims and their objects are kept after this process first
+  /// saw them.
   Duration m_Retention = std::chrono::minutes(10);
-  /// Between two appends of this entry to this shard.
-  Duration m_LeastInterval = std::chrono::milliseconds(50);
-  /// The platform is taken for slow when an operation lasts longer.
-  Duration m_SlowAfter = std::chrono::milliseconds(500);
-  Duration m_FirstBackoff = std::chrono::milliseconds(200);
-  Duration m_MostBackoff = std::chrono::seconds(2);
-  Duration m_LeastListInterval = std::chrono::milliseconds(100);
-  Duration m_LeastDeleteInterval = std::chrono::milliseconds(20);
+  /// Minimum interval between two appends of this entry to a shard.
+  Duration m_MinInterval = std::chrono::milliseconds(50);
+  /// An operation that takes longer marks the platform as slow.
+  Duration m_SlowThreshold = std::chrono::milliseconds(500);
+  Duration m_InitialBackOff = std::chrono::milliseconds(200);
+  Duration m_MaxBackOff = std::chrono::seconds(2);
+  Duration m_MinListInterval = std::chrono::milliseconds(100);
+  Duration m_MinDeleteInterval = std::chrono::milliseconds(20);
   std::size_t m_MaxBatch = 2'000;
   std::size_t m_MaxWaiting = 10'000;
 };
 
 using ClaimWaiterId = std::uint64_t;
 
-/// How a wish to claim ended.
+/// The outcome of an attempt to claim a key.
 struct ClaimSettled {
   enum class Verdict {
-    Granted, ///< the waiter, and nobody else, may send this run
-    Taken,   ///< m_Claim came first
-    Refused, ///< nothing may be run: the platform cannot be asked
+    Granted, ///< only this waiter may send the run
+    Taken,   ///< m_Claim was first in the log
+    Refused, ///< must not run: the platform is unavailable
   };
   ClaimWaiterId m_Waiter = 0;
   Verdict m_Verdict = Verdict::Refused;
@@ -104,7 +105,8 @@
   friend bool operator==(const ClaimSettled &, const ClaimSettled &) = default;
 };
 
-/// What the log's owner must do next; one at a time, then feed the result.
+/// Actions that the owner of the log performs one at a time, reporting each
+/// result.
 struct ListLog {
   friend bool operator==(const ListLog &, const ListLog &) = default;
 };
@@ -122,7 +124,7 @@
   Revision m_Revision;
   friend bool operator==(const DeleteLog &, const DeleteLog &) = default;
 };
-/// Nothing now; ask again at m_Until or after any input.
+/// Nothing to do; call next() again at m_Until or after any input.
 struct IdleLog {
   std::optional<TimePoint> m_Until;
   friend bool operator==(const IdleLog &, const IdleLog &) = default;
@@ -132,40 +134,41 @@
 
 /// One shard of the log at one entry.
 ///
-///   Log.submit(7, Wanted, GiveUpAt, Now);
-///   perform(Log.next(Now)) and feed listed/read/appended/conflicted/failed
+///   Log.submit(7, Wanted, Deadline, Now);
+///   perform(Log.next(Now)), then call listed/read/appended/conflicted/failed
 ///   for (const ClaimSettled &Each : Log.takeSettled()) ...
 class ClaimLog {
 public:
-  /// Batches are named "<Owner>-<counter>": Owner must differ for each life
-  /// of each entry.
+  /// Batches are named "<Owner>-<counter>", so Owner must be unique for each
+  /// incarnation of each entry.
   ClaimLog(std::string Owner, ClaimLogSettings Settings);
 
-  void submit(ClaimWaiterId Waiter, Claim Wanted, TimePoint GiveUpAt,
+  void submit(ClaimWaiterId Waiter, Claim Wanted, TimePoint Deadline,
               TimePoint Now);
-  /// The claim that stands for a key, if this entry knows of one.
+  /// The valid claim for a key, if this entry knows one.
   const Claim *find(const std::string &Key) const;
 
   ClaimAction next(TimePoint Now);
-  /// A batch seen by other means than next(), e.g. a watch; never needed.
+  /// Adds a batch from a source other than next(), such as a watch. Optional.
   void observed(const LoggedBatch &Seen, TimePoint Now);
   void observedDeletion(std::uint64_t Number);
   void listed(const std::vector<LoggedBatch> &All, TimePoint Now);
   void read(const std::optional<LoggedBatch> &Got, TimePoint Now);
   void appended(Revision At, TimePoint Now);
-  /// Another batch has that number.
+  /// Another batch already has the number of the append.
   void conflicted();
-  /// The object that DeleteLog named is gone.
+  /// The object of the last DeleteLog was deleted.
   void removed();
-  /// The operation failed; MayHaveTakenEffect: its answer was lost.
+  /// The operation failed. MayHaveTakenEffect: its response was lost.
   void failed(bool MayHaveTakenEffect, TimePoint Now);
 
   std::vector<ClaimSettled> takeSettled();
-  /// Whether this entry deletes old objects; one is enough, more do no harm.
+  /// Sets whether this entry deletes old objects. One entry is enough, but
+  /// several may.
   void setDeletes(bool Deletes) { m_Deletes = Deletes; }
-  void setLeastInterval(Duration Value) { m_Settings.m_LeastInterval = Value; }
+  void setLeastInterval(Duration Value) { m_Settings.m_MinInterval = Value; }
 
-  std::size_t waiting() const { return m_Waiting.size() + m_InFlight.size(); }
+  std::size_t waiting() const { return m_Queue.size() + m_InFlight.size(); }
   std::size_t known() const { return m_Known.size(); }
   std::uint64_t nextNumber() const { return m_Next; }
 
@@ -173,7 +176,7 @@
   struct Waiter {
     ClaimWaiterId m_Id = 0;
     Claim m_Wanted;
-    TimePoint m_GiveUpAt;
+    TimePoint m_Deadline;
   };
   struct KnownClaim {
     Claim m_Claim;
@@ -183,22 +186,29 @@
     Revision m_Revision;
     TimePoint m_Seen;
   };
-  enum class Doing { Nothing, Listing, Probing, Reading, Appending, Deleting };
+  enum class Operation {
+    Nothing,
+    Listing,
+    Probing,
+    Reading,
+    Appending,
+    Deleting
+  };
 
-  void learn(const LoggedBatch &Seen, TimePoint Now);
+  void record(const LoggedBatch &Seen, TimePoint Now);
   void advance();
   void settle(const Waiter &Of, ClaimSettled::Verdict Verdict);
   void refuse(std::deque<Waiter> &All);
   void requeueInFlight();
-  /// Settles the waiting ones whose key is taken.
-  void settleTaken();
-  void giveUp(TimePoint Now);
-  void forget(TimePoint Now);
-  bool trusted(TimePoint Now) const;
+  /// Settles the waiters whose key is taken.
+  void settleTakenWaiters();
+  void expireWaiters(TimePoint Now);
+  void expireClaims(TimePoint Now);
+  bool isPositionValid(TimePoint Now) const;
   void grantInFlight(TimePoint Now);
   bool isOwn(const LoggedBatch &Got) const;
   AppendLog makeAppend();
-  ClaimAction start(Doing What, ClaimAction Action, TimePoint Now);
+  ClaimAction start(Operation What, ClaimAction Action, TimePoint Now);
   ClaimAction nextList(TimePoint Now);
   ClaimAction nextDelete(TimePoint Now);
 
@@ -207,27 +217,27 @@
   std::uint64_t m_Batches = 0;
   bool m_Deletes = false;
 
-  std::uint64_t m_Next = 1; ///< all objects below it are known
+  std::uint64_t m_Next = 1; ///< all objects below this number are known
   bool m_Synced = false;
-  /// At this time nothing at m_Next or above had been deleted.
-  TimePoint m_TrustedAt;
+  /// At this time no object at m_Next or above had been deleted.
+  TimePoint m_PositionValidAt;
   std::map<std::string, KnownClaim> m_Known;
   std::deque<std::pair<TimePoint, std::string>> m_ClaimsBySeen;
   std::map<std::uint64_t, KnownObject> m_Objects;
 
-  std::deque<Waiter> m_Waiting;
+  std::deque<Waiter> m_Queue;
   std::deque<Waiter> m_InFlight;
   ClaimBatch m_InFlightBatch;
-  Doing m_Doing = Doing::Nothing;
+  Operation m_Operation = Operation::Nothing;
   bool m_MustRead = false;
-  bool m_Uncertain = false; ///< an append's answer was lost
+  bool m_IsAppendUncertain = false; ///< the response to an append was lost
   TimePoint m_StartedAt;
   TimePoint m_NextAppendAt;
   TimePoint m_NextListAt;
   TimePoint m_NextDeleteAt;
   std::uint64_t m_Deleting = 0;
-  TimePoint m_BackoffUntil;
-  Duration m_Backoff{};
+  TimePoint m_BackOffUntil;
+  Duration m_BackOff{};
   std::vector<ClaimSettled> m_Settled;
 };
 
--- a/include/deckpitch/engine-model.h
+++ b/include/deckpitch/engine-model.h
@@ -1,5 +1,5 @@
-// How an engine that batches continuously spends its time: what it may hold,
-// and how long a request takes there.
+// Performance model of an engine with continuous batching: its capacity and the
+// duration of requests.
 #pragma once
 
 #include "deckpitch/fleet.h"
@@ -11,11 +11,11 @@
 
 namespace deckpitch {
 
-/// How many requests an engine may hold so that the newest one's first token
-/// still comes in time, and how soon a place becomes free.
+/// The number of requests that an engine may hold so that the first token of
+/// the newest one is still in time, and how often a slot becomes free.
 struct EngineCapacity {
   double m_Limit = 1;
-  Duration m_BetweenEnds{}; ///< mean time between two ends at a full engine
+  Duration m_BetweenEnds{}; ///< mean interval of completions at a full engine
 
   friend bool operator==(const EngineCapacity &,
                          const EngineCapacity &) = default;
@@ -24,23 +24,24 @@
 EngineCapacity capacityOf(const EngineProfile &Profile,
                           std::chrono::milliseconds Objective);
 
-/// What a stream asks of an engine.
+/// The size of a streaming request.
 struct StreamSize {
-  std::uint32_t m_PromptTokens = 0; ///< to be read
-  std::uint32_t m_AnswerTokens = 0; ///< likely to be written; 0: unknown
+  std::uint32_t m_PromptTokens = 0; ///< to prefill
+  std::uint32_t m_AnswerTokens = 0; ///< expected to be generated; 0: unknown
 
   friend bool operator==(const StreamSize &, const StreamSize &) = default;
 };
 
-/// From a stream's begin to its end at an engine whose places are all taken:
-/// the usual answer's length where its own is unknown.
+/// Duration of a stream at an engine whose slots are all taken. Assumes the
+/// usual answer length if the stream's own is unknown.
 Duration streamTime(const EngineProfile &Profile, const StreamSize &Size);
 
-/// What a stream may ask of an engine whose first token is wanted so soon.
+/// Builds the slot query of a stream whose first token is due within
+/// FirstWithin.
 PlaceQuery placeQueryFor(const EngineProfile &Profile, const StreamSize &Size,
                          Duration FirstWithin, double Reserve);
 
-/// Until a request begins that comes to an engine which holds so many.
+/// Time until a request starts that arrives at an engine with Held requests.
 Duration waitUntilBegin(const EngineProfile &Profile, double Held);
 
 } // namespace deckpitch
--- a/include/deckpitch/engine-status.h
+++ b/include/deckpitch/engine-status.h
@@ -1,4 +1,4 @@
-// What a model engine says of itself.
+// The status that a model engine reports.
 #pragma once
 
 #include "deckpitch/id.h"
@@ -19,7 +19,7 @@
                          const LoadedWeights &) = default;
 };
 
-/// Chunks that the engine holds of weights it may be told to load.
+/// Staged chunks of weights that the engine may be ordered to load.
 struct StagedWeights {
   WeightsId m_Weights;
   std::vector<std::uint32_t> m_Chunks;
@@ -29,12 +29,12 @@
 };
 
 struct EngineStatus {
-  std::uint32_t m_Slots = 1; ///< versions that fit in its memory
+  std::uint32_t m_Slots = 1; ///< versions that fit into memory
   std::vector<LoadedWeights> m_Loaded;
   std::vector<StagedWeights> m_Staging;
   FencingNumber m_Fence;       ///< of the last order
-  std::uint32_t m_Running = 0; ///< requests; lags behind
-  std::uint32_t m_Waiting = 0; ///< requests; lags behind
+  std::uint32_t m_Running = 0; ///< requests; may be outdated
+  std::uint32_t m_Waiting = 0; ///< requests; may be outdated
 
   const LoadedWeights *active() const;
   const LoadedWeights *find(const WeightsId &Weights) const;
@@ -42,7 +42,7 @@
   friend bool operator==(const EngineStatus &, const EngineStatus &) = default;
 };
 
-/// Reads the answer of GET /v1/engine/status. Errors: InvalidInput.
+/// Parses the response of GET /v1/engine/status. Errors: InvalidInput.
 Result<EngineStatus> parseEngineStatus(std::string_view Json);
 
 } // namespace deckpitch
--- a/include/deckpitch/fleet.h
+++ b/include/deckpitch/fleet.h
@@ -1,5 +1,5 @@
-// What an operator has declared for a fleet whose entries call the instances
-// themselves, and what the fleet consists of.
+// The operator's declaration of a fleet whose entries call the instances
+// directly, and the instances of the fleet.
 #pragma once
 
 #include "deckpitch/id.h"
@@ -15,7 +15,7 @@
 
 using ServiceId = Id<struct ServiceTag>;
 
-/// What may be repeated of a route's requests.
+/// Whether and how requests of a route may be repeated.
 enum class RouteKind { Idempotent, NonIdempotent, Stream };
 
 struct WeightedService {
@@ -26,38 +26,38 @@
                          const WeightedService &) = default;
 };
 
-/// Where requests of one host and path prefix go, and on what terms.
+/// Routes requests of one host and path prefix to services.
 struct ServiceRoute {
   std::string m_Name;
   std::string m_Host;       ///< lower case, without a port
-  std::string m_PathPrefix; ///< begins and ends with a slash
+  std::string m_PathPrefix; ///< starts and ends with a slash
   RouteKind m_Kind = RouteKind::NonIdempotent;
   std::chrono::milliseconds m_Timeout{30'000};
   std::chrono::milliseconds m_Objective{1'000};  ///< to the first byte
   std::chrono::milliseconds m_LongestPause{300}; ///< between events
   std::optional<std::uint32_t> m_Priority;       ///< 0 is the most urgent
-  std::uint32_t m_Attempts = 1; ///< instances that one request may run on
-  bool m_IsOpen = false;        ///< takes requests without a key
-  bool m_IsResumable = false;   ///< streams may go on elsewhere
+  std::uint32_t m_Attempts = 1; ///< maximum instances tried per request
+  bool m_IsOpen = false;        ///< accepts requests without an API key
+  bool m_IsResumable = false;   ///< streams may continue on another instance
   std::vector<WeightedService> m_Services;
 
   friend bool operator==(const ServiceRoute &, const ServiceRoute &) = default;
 };
 
-/// How fast the engines of a service work, as declared.
+/// The declared performance of a service's engines.
 struct EngineProfile {
-  std::uint32_t m_Slots = 1;       ///< requests that write at once
-  double m_StepMs = 10;            ///< one token for each writer
-  double m_StepMsPerWriter = 0;    ///< more for each writer
-  double m_StepMsPerKiloToken = 0; ///< more for 1,000 tokens of context
-  double m_ReadTokensPerMs = 30;   ///< prompt tokens
+  std::uint32_t m_Slots = 1;       ///< requests that generate in parallel
+  double m_StepMs = 10;            ///< for one token of each generating request
+  double m_StepMsPerWriter = 0;    ///< added per generating request
+  double m_StepMsPerKiloToken = 0; ///< added per 1,000 tokens of context
+  double m_ReadTokensPerMs = 30;   ///< prefill speed in prompt tokens
   std::uint32_t m_StepsPerPass = 1;
   double m_UsualPromptTokens = 1'000;
   double m_UsualAnswerTokens = 100;
   std::uint32_t m_Layers = 1;
-  std::uint32_t m_Chunks = 0; ///< of the weights; 0 when not distributed
+  std::uint32_t m_Chunks = 0; ///< of the weights; 0: not distributed
   std::uint32_t m_ChunkBytes = 0;
-  std::vector<std::string> m_Models; ///< that the engines may be told to serve
+  std::vector<std::string> m_Models; ///< models that the engines may serve
 
   friend bool operator==(const EngineProfile &,
                          const EngineProfile &) = default;
@@ -65,10 +65,10 @@
 
 struct ServiceDeclaration {
   ServiceId m_Id;
-  std::uint32_t m_MaxConnections = 0; ///< of one instance, from all callers
+  std::uint32_t m_MaxConnections = 0; ///< per instance, from all callers
   std::optional<EngineProfile> m_Engine;
-  std::string m_Origin;    ///< address; set for an origin of weights only
-  double m_OriginMbps = 0; ///< of the origin's link; 0: not told
+  std::string m_Origin;    ///< address; set only for an origin of weights
+  double m_OriginMbps = 0; ///< of the origin's link; 0: unknown
 
   friend bool operator==(const ServiceDeclaration &,
                          const ServiceDeclaration &) = default;
@@ -76,14 +76,14 @@
 
 struct OrganisationKeys {
   OrganisationId m_Organisation;
-  std::optional<std::uint32_t> m_Priority; ///< goes before the route's
+  std::optional<std::uint32_t> m_Priority; ///< overrides the route's
   std::vector<std::string> m_Keys;
 
   friend bool operator==(const OrganisationKeys &,
                          const OrganisationKeys &) = default;
 };
 
-/// What a caller may send and how long it may take.
+/// Limits of callers' requests.
 struct CallerLimits {
   std::size_t m_HeaderBytes = std::size_t{16} * 1024;
   std::size_t m_BodyBytes = std::size_t{4} * 1024 * 1024;
@@ -93,48 +93,50 @@
   friend bool operator==(const CallerLimits &, const CallerLimits &) = default;
 };
 
-/// One whole version of what the operator wants.
+/// One version of the operator's complete declaration.
 struct FleetDeclaration {
-  std::uint64_t m_Version = 0; ///< 0: none is known yet
+  std::uint64_t m_Version = 0; ///< 0: none known yet
   std::vector<ServiceRoute> m_Routes;
   std::vector<ServiceDeclaration> m_Services;
-  std::vector<OrganisationKeys> m_Organisations; ///< empty: no key is needed
+  /// Empty: no API key is required.
+  std::vector<OrganisationKeys> m_Organisations;
   CallerLimits m_Limits;
 
   friend bool operator==(const FleetDeclaration &,
                          const FleetDeclaration &) = default;
 };
 
-/// Which model a service's instances serve, and where its weights come from.
+/// The model that a service's instances serve, and the origin of its weights.
 struct WeightsSource {
   ServiceId m_Service;
   std::string m_Model;
   std::string m_Origin;    ///< address
-  double m_OriginMbps = 0; ///< of the origin's link; 0: not told
+  double m_OriginMbps = 0; ///< of the origin's link; 0: unknown
 
   friend bool operator==(const WeightsSource &,
                          const WeightsSource &) = default;
 };
 
-/// Of every service with engines; empty while no origin is declared.
+/// The weights sources of all services with engines; empty if no origin is
+/// declared.
 std::vector<WeightsSource> sourcesOf(const FleetDeclaration &Declaration);
 
 /// Weights that an instance holds.
 struct HeldWeights {
   std::string m_Model;
   std::uint64_t m_Version = 0;
-  bool m_IsComplete = true; ///< all layers, all of this version
+  bool m_IsComplete = true; ///< has all layers, all in this version
 
   friend bool operator==(const HeldWeights &, const HeldWeights &) = default;
 };
 
-/// One life of one instance, as the platform's list tells it.
+/// One incarnation of an instance, as listed by the platform.
 struct FleetInstance {
-  /// New at each start, also where the platform's name stays the same: nothing
-  /// that was believed of the former life holds for the next.
+  /// Changes with each start even if the platform's name does not, so that no
+  /// cached state of an earlier incarnation is applied to the next.
   InstanceId m_Id;
-  /// Unix milliseconds by that machine's clock; 0: not told. Only compared for
-  /// equality, since that clock may stand behind.
+  /// Start time in Unix milliseconds by the instance's clock; 0: unknown. Only
+  /// compared for equality, since that clock may be off.
   std::uint64_t m_Start = 0;
   ServiceId m_Service;
   std::string m_Address;
@@ -147,7 +149,7 @@
                          const FleetInstance &) = default;
 };
 
-/// The version of a model's weights that all its instances are to serve.
+/// The declared version of a model's weights, which all instances should serve.
 struct DeclaredWeights {
   std::string m_Model;
   std::uint64_t m_Version = 0;
@@ -156,8 +158,8 @@
                          const DeclaredWeights &) = default;
 };
 
-/// A declared version, and when it was declared at the earliest: the last time
-/// at which it was known not to be.
+/// A declared version and the earliest possible time of its declaration: the
+/// last time at which it was known not to be declared.
 struct HeardWeights {
   DeclaredWeights m_Declared;
   TimePoint m_Since{};
@@ -165,7 +167,7 @@
   friend bool operator==(const HeardWeights &, const HeardWeights &) = default;
 };
 
-/// "model@version", as the rest of the system names weights.
+/// Formats the weights' id, "model@version".
 inline WeightsId weightsIdOf(const DeclaredWeights &Value) {
   return {Value.m_Model + "@" + std::to_string(Value.m_Version)};
 }
--- a/include/deckpitch/lease.h
+++ b/include/deckpitch/lease.h
@@ -1,4 +1,5 @@
-// The right to do a job alone for a while, kept in one platform object.
+// A lease: the temporary exclusive right to do a job, kept in one object of the
+// platform.
 #pragma once
 
 #include "deckpitch/error.h"
@@ -13,12 +14,12 @@
 
 namespace deckpitch {
 
-/// What the lease's object holds.
+/// The content of the lease's object.
 struct LeaseRecord {
-  InstanceId m_Holder; ///< empty: given back
-  Incarnation m_Life;
-  std::uint64_t m_Term = 0;    ///< grows at each change of holder
-  std::uint64_t m_Renewal = 0; ///< tells the holder's writes apart
+  InstanceId m_Holder; ///< empty: released
+  Incarnation m_Incarnation;
+  std::uint64_t m_Term = 0;    ///< incremented at each change of holder
+  std::uint64_t m_Renewal = 0; ///< distinguishes the holder's writes
 
   friend bool operator==(const LeaseRecord &, const LeaseRecord &) = default;
 };
@@ -27,35 +28,35 @@
 std::string formatLease(const LeaseRecord &Value);
 
 struct LeaseLimits {
-  /// A holder acts for this long after it began the last renewal.
+  /// Time after the start of its last renewal for which a holder may act.
   std::chrono::milliseconds m_Duration{9'000};
-  /// Others wait this much longer since they saw the object change: covers
-  /// clocks that run at different speeds, never their settings.
+  /// Additional time that others wait after they saw the object change. Covers
+  /// clocks that run at different speeds; absolute times are never compared.
   std::chrono::milliseconds m_Margin{2'000};
 
   friend bool operator==(const LeaseLimits &, const LeaseLimits &) = default;
 };
 
-/// The decisions of one candidate. It does what next() says and reports how
-/// that went; held() answers from memory.
+/// The decisions of one candidate. The caller performs the steps of next() and
+/// reports their results; held() only reads local state.
 ///
-/// A holder counts from BEFORE it sent the write that the platform confirmed;
-/// the others count from AFTER they saw that write. So the holder stops first
-/// by at least the margin, whatever wall clocks say. What the holder does in
-/// the world must still be fenced, since it may be paused between held() and
-/// the deed: it writes by conditional update only, and a new holder first
-/// moves the object that the job writes, so that what an earlier holder
-/// prepared meets a conflict.
+/// A holder counts its time from BEFORE it sent the write that the platform
+/// confirmed; the others count from AFTER they saw that write. The holder thus
+/// stops first, by at least the margin, independent of wall clocks. The
+/// holder's actions must be fenced nevertheless, since it may be paused between
+/// held() and the action: it writes by conditional update only, and a new
+/// holder first updates the object that the job writes, so that pending writes
+/// of an earlier holder conflict.
 class Lease {
 public:
-  Lease(InstanceId Self, Incarnation Life, LeaseLimits Limits);
+  Lease(InstanceId Self, Incarnation Own, LeaseLimits Limits);
 
   struct Step {
     enum class Kind {
-      Wait,   ///< nothing to do until m_At
-      Read,   ///< get the object, then report with onRead()
-      Create, ///< the object does not exist: create it with m_Record
-      Update, ///< replace it, if it still has m_Expected
+      Wait,   ///< do nothing until m_At
+      Read,   ///< read the object and report with onRead()
+      Create, ///< create the object, which does not exist, with m_Record
+      Update, ///< replace the object if its revision is m_Expected
     };
     Kind m_Kind = Kind::Wait;
     TimePoint m_At;
@@ -63,17 +64,17 @@
     LeaseRecord m_Record;
   };
 
-  /// Wanted: this process is a candidate. A holder that is none any more
-  /// gives the lease back.
+  /// The next step. Wanted: this process is a candidate; a holder that is no
+  /// longer one releases the lease.
   Step next(TimePoint Now, bool Wanted);
-  /// The object as read; none when there is no such object.
+  /// The object was read; Record is nullopt if it does not exist.
   void onRead(TimePoint Now, Revision At,
               const std::optional<LeaseRecord> &Record);
   /// The read failed.
   void onUnread(TimePoint Now);
-  /// The platform confirmed the write that next() asked for at that time.
+  /// The platform confirmed the write that next() requested at Asked.
   void onWritten(TimePoint Asked, Revision At);
-  /// The write failed or its answer was lost: the object is read again.
+  /// The write failed or its response was lost; the object is read again.
   void onUnwritten(TimePoint Now);
 
   bool held(TimePoint Now) const { return m_Holds && Now < m_Until; }
@@ -83,22 +84,22 @@
 
 private:
   Step write(TimePoint Now, LeaseRecord Record);
-  bool mine(const LeaseRecord &Record) const;
+  bool isOwn(const LeaseRecord &Record) const;
   Duration readPeriod() const { return Duration(m_Limits.m_Duration) / 3; }
 
   InstanceId m_Self;
-  Incarnation m_Life;
+  Incarnation m_Incarnation;
   LeaseLimits m_Limits;
   LeaseRecord m_Seen;
   Revision m_At;
   bool m_Exists = false;
   bool m_MustRead = true;
   bool m_Holds = false;
-  TimePoint m_Until;      ///< holder: stops here
-  TimePoint m_ChangeSeen; ///< others: when the object was last seen to change
+  TimePoint m_Until;      ///< end of this holder's time
+  TimePoint m_LastChange; ///< for others: last observed change of the object
   TimePoint m_NextAction = TimePoint::min();
-  LeaseRecord m_Tried; ///< last write, whose outcome may be unknown
-  TimePoint m_TriedAt;
+  LeaseRecord m_LastWrite; ///< last write; its outcome may be unknown
+  TimePoint m_LastWriteAt;
 };
 
 } // namespace deckpitch
--- a/include/deckpitch/random-weight.h
+++ b/include/deckpitch/random-weight.h
@@ -1,4 +1,4 @@
-// Weight of a candidate for a duty, for choices by highest random weight.
+// Weights for rendezvous hashing (highest random weight).
 #pragma once
 
 #include <xxhash.h>
@@ -8,8 +8,9 @@
 
 namespace deckpitch {
 
-/// The same in every process. Who weighs most has the duty, so a candidate that
-/// goes moves only the duties that it had.
+/// The weight of a candidate for a duty, the same in every process. The
+/// candidate with the highest weight has the duty, so the removal of a
+/// candidate reassigns only its own duties.
 inline std::uint64_t randomWeight(const std::string &Duty,
                                   const std::string &Candidate) {
   const std::string Text = Duty + '/' + Candidate;
--- a/src/kernel/call-records.cc
+++ b/src/kernel/call-records.cc
@@ -13,18 +13,19 @@
 RunAdmission CallRecords::admit(const KeyedRun &Run, TimePoint Now) {
   const auto Found = m_Records.find(Run.m_Key);
   if (Found != m_Records.end()) {
-    Record &Known = Found->second;
-    if (Known.m_Attempt > Run.m_Attempt)
+    Record &Existing = Found->second;
+    if (Existing.m_Attempt > Run.m_Attempt)
       return RunAdmission::Refused;
-    if (Known.m_State != RunState::NeverRan)
+    if (Existing.m_State != RunState::NeverRan)
       return RunAdmission::Duplicate;
-    if (Known.m_Attempt == Run.m_Attempt)
+    if (Existing.m_Attempt == Run.m_Attempt)
       return RunAdmission::Refused;
   }
-  const auto Life = std::chrono::duration_cast<std::chrono::milliseconds>(
-      m_Settings.m_TicketLife);
-  const auto Until = Run.m_Ticket + static_cast<std::uint64_t>(Life.count());
-  if (Until < ticketAt(Now) || !makeRoom(Now))
+  const auto Lifetime = std::chrono::duration_cast<std::chrono::milliseconds>(
+      m_Settings.m_TicketLifetime);
+  const auto Until =
+      Run.m_Ticket + static_cast<std::uint64_t>(Lifetime.count());
+  if (Until < ticketAt(Now) || !evictExpired(Now))
     return RunAdmission::Refused;
   m_Records[Run.m_Key] = {.m_Attempt = Run.m_Attempt, .m_Ticket = Run.m_Ticket};
   return RunAdmission::Start;
@@ -73,19 +74,20 @@
 RunState CallRecords::fence(const KeyedRun &Run, TimePoint Now) {
   const auto Found = m_Records.find(Run.m_Key);
   if (Found == m_Records.end()) {
-    if (Run.m_Ticket < m_CompleteSince || !makeRoom(Now))
+    if (Run.m_Ticket < m_CompleteSince || !evictExpired(Now))
       return RunState::Unknown;
     m_Records[Run.m_Key] = {.m_Attempt = Run.m_Attempt,
                             .m_Ticket = Run.m_Ticket};
     end(Run.m_Key, RunState::NeverRan, Now);
     return RunState::NeverRan;
   }
-  Record &Known = Found->second;
-  if (Known.m_Attempt > Run.m_Attempt)
+  Record &Existing = Found->second;
+  if (Existing.m_Attempt > Run.m_Attempt)
     return RunState::NeverRan;
-  if (Known.m_Attempt < Run.m_Attempt && Known.m_State == RunState::NeverRan)
-    Known.m_Attempt = Run.m_Attempt;
-  return Known.m_State;
+  if (Existing.m_Attempt < Run.m_Attempt &&
+      Existing.m_State == RunState::NeverRan)
+    Existing.m_Attempt = Run.m_Attempt;
+  return Existing.m_State;
 }
 
 std::optional<StoredAnswer>
@@ -94,8 +96,8 @@
   return Found == m_Records.end() ? std::nullopt : Found->second.m_Answer;
 }
 
-/// Drops what has been kept long enough; false when still full.
-bool CallRecords::makeRoom(TimePoint Now) {
+/// Evicts expired records. Returns false if the records are still full.
+bool CallRecords::evictExpired(TimePoint Now) {
   while (!m_Ended.empty() &&
          Now - m_Ended.front().first >= m_Settings.m_Retention) {
     evict(m_Ended.front().second, m_Ended.front().first);
--- a/src/kernel/claim-log.cc
+++ b/src/kernel/claim-log.cc
@@ -13,70 +13,71 @@
   return Found == m_Known.end() ? nullptr : &Found->second.m_Claim;
 }
 
-void ClaimLog::submit(ClaimWaiterId Id, Claim Wanted, TimePoint GiveUpAt,
+void ClaimLog::submit(ClaimWaiterId Id, Claim Wanted, TimePoint Deadline,
                       TimePoint Now) {
-  const Waiter Added{Id, std::move(Wanted), GiveUpAt};
-  const Claim *Standing = find(Added.m_Wanted.m_Key);
-  const bool Slow =
-      m_Doing != Doing::Nothing && Now - m_StartedAt >= m_Settings.m_SlowAfter;
-  if (Standing && Standing->m_Attempt >= Added.m_Wanted.m_Attempt)
+  const Waiter Added{Id, std::move(Wanted), Deadline};
+  const Claim *Existing = find(Added.m_Wanted.m_Key);
+  const bool Slow = m_Operation != Operation::Nothing &&
+                    Now - m_StartedAt >= m_Settings.m_SlowThreshold;
+  if (Existing && Existing->m_Attempt >= Added.m_Wanted.m_Attempt)
     settle(Added, ClaimSettled::Verdict::Taken);
-  else if (Now < m_BackoffUntil || Slow || waiting() >= m_Settings.m_MaxWaiting)
+  else if (Now < m_BackOffUntil || Slow || waiting() >= m_Settings.m_MaxWaiting)
     settle(Added, ClaimSettled::Verdict::Refused);
   else
-    m_Waiting.push_back(Added);
+    m_Queue.push_back(Added);
 }
 
-/// An object is deleted no sooner than m_Retention after it was first seen,
-/// which is not before it was created. So a position that was whole at
-/// m_TrustedAt is whole for that long; half of it is left as a margin for
-/// reads that lag.
-bool ClaimLog::trusted(TimePoint Now) const {
-  return m_Synced && Now - m_TrustedAt < m_Settings.m_Retention / 2;
+/// Whether m_Next is still valid, that is, no object at or above it was
+/// deleted. An object is deleted no sooner than m_Retention after it was first
+/// seen, and thus after its creation. So a position that was valid at
+/// m_PositionValidAt stays valid for that time, of which half is kept as a
+/// margin for stale reads.
+bool ClaimLog::isPositionValid(TimePoint Now) const {
+  return m_Synced && Now - m_PositionValidAt < m_Settings.m_Retention / 2;
 }
 
-ClaimAction ClaimLog::start(Doing What, ClaimAction Action, TimePoint Now) {
-  m_Doing = What;
+ClaimAction ClaimLog::start(Operation What, ClaimAction Action, TimePoint Now) {
+  m_Operation = What;
   m_StartedAt = Now;
   return Action;
 }
 
 ClaimAction ClaimLog::next(TimePoint Now) {
-  giveUp(Now);
-  forget(Now);
-  if (m_Doing != Doing::Nothing)
+  expireWaiters(Now);
+  expireClaims(Now);
+  if (m_Operation != Operation::Nothing)
     return IdleLog{};
-  if (Now < m_BackoffUntil)
-    return IdleLog{m_BackoffUntil};
+  if (Now < m_BackOffUntil)
+    return IdleLog{m_BackOffUntil};
   if (!m_Synced)
     return nextList(Now);
   if (m_MustRead)
-    return start(Doing::Reading, ReadLog{m_Next}, Now);
-  if (m_Waiting.empty())
+    return start(Operation::Reading, ReadLog{m_Next}, Now);
+  if (m_Queue.empty())
     return nextDelete(Now);
-  if (Now - m_TrustedAt >= m_Settings.m_Retention / 4) {
+  if (Now - m_PositionValidAt >= m_Settings.m_Retention / 4) {
     const bool Known = m_Objects.contains(m_Next - 1);
-    return Known ? start(Doing::Probing, ReadLog{m_Next - 1}, Now)
+    return Known ? start(Operation::Probing, ReadLog{m_Next - 1}, Now)
                  : nextList(Now);
   }
   if (Now < m_NextAppendAt)
     return IdleLog{m_NextAppendAt};
-  settleTaken();
-  if (m_Waiting.empty())
+  settleTakenWaiters();
+  if (m_Queue.empty())
     return IdleLog{};
-  m_NextAppendAt = Now + m_Settings.m_LeastInterval;
-  return start(Doing::Appending, makeAppend(), Now);
+  m_NextAppendAt = Now + m_Settings.m_MinInterval;
+  return start(Operation::Appending, makeAppend(), Now);
 }
 
 ClaimAction ClaimLog::nextList(TimePoint Now) {
   if (Now < m_NextListAt)
     return IdleLog{m_NextListAt};
-  m_NextListAt = Now + m_Settings.m_LeastListInterval;
-  return start(Doing::Listing, ListLog{}, Now);
+  m_NextListAt = Now + m_Settings.m_MinListInterval;
+  return start(Operation::Listing, ListLog{}, Now);
 }
 
-/// The lowest object that is old enough; never the last one, which tells
-/// where the log goes on.
+/// Deletes the lowest object if it is old enough, but never the last one, which
+/// marks where the log continues.
 ClaimAction ClaimLog::nextDelete(TimePoint Now) {
   if (!m_Deletes || m_Objects.size() < 2)
     return IdleLog{};
@@ -87,32 +88,32 @@
       std::max(Object.m_Seen + m_Settings.m_Retention, m_NextDeleteAt);
   if (Now < At)
     return IdleLog{At};
-  m_NextDeleteAt = Now + m_Settings.m_LeastDeleteInterval;
+  m_NextDeleteAt = Now + m_Settings.m_MinDeleteInterval;
   m_Deleting = Number;
-  return start(Doing::Deleting, DeleteLog{Number, Object.m_Revision}, Now);
+  return start(Operation::Deleting, DeleteLog{Number, Object.m_Revision}, Now);
 }
 
 AppendLog ClaimLog::makeAppend() {
   AppendLog Action{m_Next, {m_Owner + "-" + std::to_string(++m_Batches), {}}};
   std::set<std::string> Keys;
-  std::deque<Waiter> Left;
-  for (Waiter &Each : m_Waiting) {
+  std::deque<Waiter> Remaining;
+  for (Waiter &Each : m_Queue) {
     const bool Fits = m_InFlight.size() < m_Settings.m_MaxBatch &&
                       Keys.insert(Each.m_Wanted.m_Key).second;
     if (Fits) {
       Action.m_Batch.m_Claims.push_back(Each.m_Wanted);
       m_InFlight.push_back(std::move(Each));
     } else {
-      Left.push_back(std::move(Each));
+      Remaining.push_back(std::move(Each));
     }
   }
-  m_Waiting = std::move(Left);
+  m_Queue = std::move(Remaining);
   m_InFlightBatch = Action.m_Batch;
-  m_Uncertain = false;
+  m_IsAppendUncertain = false;
   return Action;
 }
 
-void ClaimLog::learn(const LoggedBatch &Seen, TimePoint Now) {
+void ClaimLog::record(const LoggedBatch &Seen, TimePoint Now) {
   const auto [Place, New] =
       m_Objects.try_emplace(Seen.m_Number, KnownObject{Seen.m_Revision, Now});
   if (!New)
@@ -127,17 +128,17 @@
   }
 }
 
-/// Moves on over numbers that are known already.
+/// Skips numbers that are known already.
 void ClaimLog::advance() {
   while (m_Objects.contains(m_Next))
     ++m_Next;
 }
 
 void ClaimLog::observed(const LoggedBatch &Seen, TimePoint Now) {
-  learn(Seen, Now);
-  if (m_Synced && m_Doing != Doing::Appending && !m_MustRead)
+  record(Seen, Now);
+  if (m_Synced && m_Operation != Operation::Appending && !m_MustRead)
     advance();
-  settleTaken();
+  settleTakenWaiters();
 }
 
 void ClaimLog::observedDeletion(std::uint64_t Number) {
@@ -146,23 +147,23 @@
 }
 
 void ClaimLog::removed() {
-  m_Doing = Doing::Nothing;
+  m_Operation = Operation::Nothing;
   m_Objects.erase(m_Deleting);
 }
 
 void ClaimLog::listed(const std::vector<LoggedBatch> &All, TimePoint Now) {
-  m_Doing = Doing::Nothing;
-  m_Backoff = {};
+  m_Operation = Operation::Nothing;
+  m_BackOff = {};
   std::uint64_t Last = 0;
   for (const LoggedBatch &Each : All) {
-    learn(Each, Now);
+    record(Each, Now);
     Last = std::max(Last, Each.m_Number);
   }
   m_Next = std::max(m_Next, Last + 1);
   m_Synced = true;
-  m_TrustedAt = m_StartedAt;
+  m_PositionValidAt = m_StartedAt;
   advance();
-  settleTaken();
+  settleTakenWaiters();
 }
 
 bool ClaimLog::isOwn(const LoggedBatch &Got) const {
@@ -170,55 +171,55 @@
 }
 
 void ClaimLog::read(const std::optional<LoggedBatch> &Got, TimePoint Now) {
-  const Doing Was = std::exchange(m_Doing, Doing::Nothing);
-  m_Backoff = {};
-  if (Was == Doing::Probing) {
+  const Operation Previous = std::exchange(m_Operation, Operation::Nothing);
+  m_BackOff = {};
+  if (Previous == Operation::Probing) {
     const auto Known = m_Objects.find(m_Next - 1);
     m_Synced = Got && Known != m_Objects.end() &&
                Known->second.m_Revision == Got->m_Revision;
     if (m_Synced)
-      m_TrustedAt = m_StartedAt;
+      m_PositionValidAt = m_StartedAt;
     return;
   }
   m_MustRead = false;
   if (!Got) {
-    // After a lost answer the batch may yet arrive, so it must not be sent
-    // again; after a conflict the object was deleted or the read is stale.
-    if (m_Uncertain)
+    // After a lost response the batch may still arrive, so it must not be sent
+    // again. After a conflict the object was deleted or the read is stale.
+    if (m_IsAppendUncertain)
       refuse(m_InFlight);
     else
       requeueInFlight();
-    m_Synced = m_Synced && m_Uncertain;
+    m_Synced = m_Synced && m_IsAppendUncertain;
     return;
   }
   if (isOwn(*Got)) {
-    learn(*Got, Now);
+    record(*Got, Now);
     grantInFlight(Now);
   } else {
-    learn(*Got, Now);
+    record(*Got, Now);
     requeueInFlight();
   }
-  m_TrustedAt = m_StartedAt;
+  m_PositionValidAt = m_StartedAt;
   advance();
 }
 
 void ClaimLog::appended(Revision At, TimePoint Now) {
-  m_Doing = Doing::Nothing;
-  m_Backoff = {};
-  learn({m_Next, At, m_InFlightBatch}, Now);
-  const bool Whole = trusted(Now);
+  m_Operation = Operation::Nothing;
+  m_BackOff = {};
+  record({m_Next, At, m_InFlightBatch}, Now);
+  const bool IsValid = isPositionValid(Now);
   grantInFlight(Now);
-  if (Whole)
-    m_TrustedAt = m_StartedAt;
+  if (IsValid)
+    m_PositionValidAt = m_StartedAt;
   advance();
-  settleTaken();
+  settleTakenWaiters();
 }
 
-/// Grants only while the position is still known to be whole: a process that
-/// was frozen across the append may have created an object anew that others
+/// Grants the claims in flight only if the position is still valid: a process
+/// that was paused during the append may have recreated an object that others
 /// had created, used and deleted.
 void ClaimLog::grantInFlight(TimePoint Now) {
-  if (!trusted(Now)) {
+  if (!isPositionValid(Now)) {
     m_Synced = false;
     refuse(m_InFlight);
     return;
@@ -229,58 +230,57 @@
 }
 
 void ClaimLog::conflicted() {
-  m_Doing = Doing::Nothing;
+  m_Operation = Operation::Nothing;
   m_MustRead = true;
 }
 
 void ClaimLog::failed(bool MayHaveTakenEffect, TimePoint Now) {
-  const Doing Was = std::exchange(m_Doing, Doing::Nothing);
-  if (Was == Doing::Deleting) {
-    m_NextDeleteAt = Now + m_Settings.m_MostBackoff;
+  const Operation Previous = std::exchange(m_Operation, Operation::Nothing);
+  if (Previous == Operation::Deleting) {
+    m_NextDeleteAt = Now + m_Settings.m_MaxBackOff;
     return;
   }
-  if (Was == Doing::Appending && MayHaveTakenEffect) {
+  if (Previous == Operation::Appending && MayHaveTakenEffect) {
     m_MustRead = true;
-    m_Uncertain = true;
+    m_IsAppendUncertain = true;
     return;
   }
   m_MustRead = false;
-  m_Backoff = std::clamp(m_Backoff * 2, m_Settings.m_FirstBackoff,
-                         m_Settings.m_MostBackoff);
-  m_BackoffUntil = Now + m_Backoff;
+  m_BackOff = std::clamp(m_BackOff * 2, m_Settings.m_InitialBackOff,
+                         m_Settings.m_MaxBackOff);
+  m_BackOffUntil = Now + m_BackOff;
   refuse(m_InFlight);
-  refuse(m_Waiting);
+  refuse(m_Queue);
 }
 
 void ClaimLog::requeueInFlight() {
-  m_Waiting.insert(m_Waiting.begin(),
-                   std::make_move_iterator(m_InFlight.begin()),
-                   std::make_move_iterator(m_InFlight.end()));
+  m_Queue.insert(m_Queue.begin(), std::make_move_iterator(m_InFlight.begin()),
+                 std::make_move_iterator(m_InFlight.end()));
   m_InFlight.clear();
   m_NextAppendAt = {};
-  settleTaken();
+  settleTakenWaiters();
 }
 
-void ClaimLog::settleTaken() {
+void ClaimLog::settleTakenWaiters() {
   const auto IsTaken = [this](const Waiter &Each) {
-    const Claim *Standing = find(Each.m_Wanted.m_Key);
-    return Standing && Standing->m_Attempt >= Each.m_Wanted.m_Attempt;
+    const Claim *Existing = find(Each.m_Wanted.m_Key);
+    return Existing && Existing->m_Attempt >= Each.m_Wanted.m_Attempt;
   };
-  for (const Waiter &Each : m_Waiting)
+  for (const Waiter &Each : m_Queue)
     if (IsTaken(Each))
       settle(Each, ClaimSettled::Verdict::Taken);
-  std::erase_if(m_Waiting, IsTaken);
+  std::erase_if(m_Queue, IsTaken);
 }
 
-void ClaimLog::giveUp(TimePoint Now) {
-  const auto IsLate = [&](const Waiter &Each) {
-    return Each.m_GiveUpAt <= Now;
+void ClaimLog::expireWaiters(TimePoint Now) {
+  const auto IsExpired = [&](const Waiter &Each) {
+    return Each.m_Deadline <= Now;
   };
-  for (std::deque<Waiter> *All : {&m_Waiting, &m_InFlight}) {
+  for (std::deque<Waiter> *All : {&m_Queue, &m_InFlight}) {
     for (const Waiter &Each : *All)
-      if (IsLate(Each))
+      if (IsExpired(Each))
         settle(Each, ClaimSettled::Verdict::Refused);
-    std::erase_if(*All, IsLate);
+    std::erase_if(*All, IsExpired);
   }
 }
 
@@ -291,13 +291,13 @@
 }
 
 void ClaimLog::settle(const Waiter &Of, ClaimSettled::Verdict Verdict) {
-  const Claim *Standing = find(Of.m_Wanted.m_Key);
+  const Claim *Existing = find(Of.m_Wanted.m_Key);
   const bool IsTaken = Verdict == ClaimSettled::Verdict::Taken;
   m_Settled.push_back(
-      {Of.m_Id, Verdict, IsTaken && Standing ? *Standing : Of.m_Wanted});
+      {Of.m_Id, Verdict, IsTaken && Existing ? *Existing : Of.m_Wanted});
 }
 
-void ClaimLog::forget(TimePoint Now) {
+void ClaimLog::expireClaims(TimePoint Now) {
   const TimePoint Oldest = Now - m_Settings.m_Retention;
   while (!m_ClaimsBySeen.empty() && m_ClaimsBySeen.front().first < Oldest) {
     const auto Known = m_Known.find(m_ClaimsBySeen.front().second);
--- a/src/kernel/engine-model.cc
+++ b/src/kernel/engine-model.cc
@@ -7,22 +7,23 @@
 
 namespace {
 
-/// Of an objective where no agent is asked; see PlannedShare.
-constexpr double PlannedPart = 0.85;
+/// Share of an objective to plan with where no agent is queried; see
+/// PlannedShare.
+constexpr double DefaultPlannedShare = 0.85;
 
-/// Of a profile whose numbers are its operator's.
-constexpr double LongestMs = 24 * 3'600 * 1e3;
+/// Bounds results for profiles with extreme values, which operators may
+/// declare.
+constexpr double MaxMs = 24 * 3'600 * 1e3;
 
 Duration fromMs(double Ms) {
-  return Duration(
-      static_cast<Duration::rep>(std::clamp(Ms, 0.0, LongestMs) * 1e6));
+  return Duration(static_cast<Duration::rep>(std::clamp(Ms, 0.0, MaxMs) * 1e6));
 }
 
 double slotsOf(const EngineProfile &Profile) {
   return std::max(1U, Profile.m_Slots);
 }
 
-/// One token for each of as many writers as there are slots.
+/// Time of a step that generates one token in every slot.
 double fullStepMs(const EngineProfile &Profile) {
   const double KiloTokens =
       (Profile.m_UsualPromptTokens + Profile.m_UsualAnswerTokens / 2) / 1'000;
@@ -31,15 +32,15 @@
                              KiloTokens * Profile.m_StepMsPerKiloToken);
 }
 
-double readMs(const EngineProfile &Profile, double Tokens) {
+double prefillMs(const EngineProfile &Profile, double Tokens) {
   return Tokens / std::max(Profile.m_ReadTokensPerMs, 0.001);
 }
 
-/// Mean time between two ends at an engine whose places are taken by usual
-/// streams: each place's writing, and a prompt read for each that begins.
-double betweenEndsMs(const EngineProfile &Profile) {
+/// Mean interval of completions at an engine whose slots are all taken by usual
+/// streams: their generation in parallel, and the prefill of each new prompt.
+double completionIntervalMs(const EngineProfile &Profile) {
   return Profile.m_UsualAnswerTokens * fullStepMs(Profile) / slotsOf(Profile) +
-         readMs(Profile, Profile.m_UsualPromptTokens);
+         prefillMs(Profile, Profile.m_UsualPromptTokens);
 }
 
 } // namespace
@@ -49,13 +50,14 @@
   const double Slots = slotsOf(Profile);
   const double Steps = std::max(1U, Profile.m_StepsPerPass);
   const double StepMs = fullStepMs(Profile);
-  const double ReadMs = readMs(Profile, Profile.m_UsualPromptTokens);
-  const double BetweenMs = betweenEndsMs(Profile);
-  // Half a pass until it is read, its own reading, and its first pass.
-  const double FirstMs = 1.5 * Steps * StepMs + ReadMs;
-  const double SpareMs =
-      PlannedPart * static_cast<double>(Objective.count()) - FirstMs;
-  const double Queued = std::clamp(SpareMs / std::max(BetweenMs, 0.001), 0.0,
+  const double PrefillMs = prefillMs(Profile, Profile.m_UsualPromptTokens);
+  const double BetweenMs = completionIntervalMs(Profile);
+  // Half a pass until its prefill starts, the prefill, and its first pass.
+  const double FirstTokenMs = 1.5 * Steps * StepMs + PrefillMs;
+  const double SlackMs =
+      DefaultPlannedShare * static_cast<double>(Objective.count()) -
+      FirstTokenMs;
+  const double Queued = std::clamp(SlackMs / std::max(BetweenMs, 0.001), 0.0,
                                    MostQueuedShare * Slots);
   return {Slots + std::floor(Queued), fromMs(BetweenMs)};
 }
@@ -63,10 +65,11 @@
 Duration streamTime(const EngineProfile &Profile, const StreamSize &Size) {
   const double Usual = std::max(Profile.m_UsualAnswerTokens, 1.0);
   const double Tokens = Size.m_AnswerTokens > 0 ? Size.m_AnswerTokens : Usual;
-  // While a usual stream is written each other place is taken anew once, and
-  // its prompt read in between.
-  const double TokenMs = betweenEndsMs(Profile) * slotsOf(Profile) / Usual;
-  return fromMs(readMs(Profile, Size.m_PromptTokens) + Tokens * TokenMs);
+  // While a usual stream is generated, each other slot is refilled once, with
+  // the prefill of a prompt in between.
+  const double TokenMs =
+      completionIntervalMs(Profile) * slotsOf(Profile) / Usual;
+  return fromMs(prefillMs(Profile, Size.m_PromptTokens) + Tokens * TokenMs);
 }
 
 PlaceQuery placeQueryFor(const EngineProfile &Profile, const StreamSize &Size,
@@ -76,8 +79,8 @@
   PlaceQuery Out;
   Out.m_Slots = std::max(1U, Profile.m_Slots);
   Out.m_Reserve = Reserve;
-  Out.m_BetweenEnds = fromMs(betweenEndsMs(Profile));
-  Out.m_ReadTime = fromMs(readMs(Profile, Size.m_PromptTokens));
+  Out.m_BetweenEnds = fromMs(completionIntervalMs(Profile));
+  Out.m_ReadTime = fromMs(prefillMs(Profile, Size.m_PromptTokens));
   Out.m_WriteTime = fromMs(PassMs);
   Out.m_FirstWithin = FirstWithin;
   return Out;
@@ -86,9 +89,9 @@
 Duration waitUntilBegin(const EngineProfile &Profile, double Held) {
   const double PassMs =
       std::max(1U, Profile.m_StepsPerPass) * fullStepMs(Profile) +
-      readMs(Profile, Profile.m_UsualPromptTokens);
+      prefillMs(Profile, Profile.m_UsualPromptTokens);
   const double Ahead = std::max(0.0, Held + 1 - slotsOf(Profile));
-  return fromMs(PassMs + Ahead * betweenEndsMs(Profile));
+  return fromMs(PassMs + Ahead * completionIntervalMs(Profile));
 }
 
 } // namespace deckpitch
--- a/src/kernel/engine-status.cc
+++ b/src/kernel/engine-status.cc
@@ -47,7 +47,7 @@
   Out.push_back(std::move(Entry));
 }
 
-/// Engines may report more of their load than is read here.
+/// Reads the load. Unknown members are ignored, since engines may report more.
 void readLoad(const boost::json::value &Status, Problems &Found,
               EngineStatus &Out) {
   const boost::json::object *Object = Status.if_object();
--- a/src/kernel/lease.cc
+++ b/src/kernel/lease.cc
@@ -15,7 +15,7 @@
     Reader.optional(Key, Number, std::uint64_t{0}, UINT64_MAX);
   };
   Reader.optional("holder", Out.m_Holder.m_Text);
-  Read("life", Out.m_Life.m_Value);
+  Read("life", Out.m_Incarnation.m_Value);
   Read("term", Out.m_Term);
   Read("renewal", Out.m_Renewal);
   if (!Found.m_List.empty())
@@ -26,22 +26,22 @@
 std::string formatLease(const LeaseRecord &Value) {
   return boost::json::serialize(
       boost::json::object{{"holder", Value.m_Holder.m_Text},
-                          {"life", Value.m_Life.m_Value},
+                          {"life", Value.m_Incarnation.m_Value},
                           {"term", Value.m_Term},
                           {"renewal", Value.m_Renewal}});
 }
 
-Lease::Lease(InstanceId Self, Incarnation Life, LeaseLimits Limits)
-    : m_Self(std::move(Self)), m_Life(Life), m_Limits(Limits) {}
+Lease::Lease(InstanceId Self, Incarnation Own, LeaseLimits Limits)
+    : m_Self(std::move(Self)), m_Incarnation(Own), m_Limits(Limits) {}
 
-bool Lease::mine(const LeaseRecord &Record) const {
-  return Record.m_Holder == m_Self && Record.m_Life == m_Life;
+bool Lease::isOwn(const LeaseRecord &Record) const {
+  return Record.m_Holder == m_Self && Record.m_Incarnation == m_Incarnation;
 }
 
 Lease::Step Lease::write(TimePoint Now, LeaseRecord Record) {
   ++Record.m_Renewal;
-  m_Tried = Record;
-  m_TriedAt = Now;
+  m_LastWrite = Record;
+  m_LastWriteAt = Now;
   const Step::Kind How = m_Exists ? Step::Kind::Update : Step::Kind::Create;
   return {How, Now, m_At, std::move(Record)};
 }
@@ -53,7 +53,8 @@
     m_NextAction = Now;
   }
   if (!m_Holds && !Wanted) {
-    m_MustRead = true; // what was seen grows old while it is no candidate
+    m_MustRead =
+        true; // the last read is stale when it becomes a candidate again
     return {Step::Kind::Wait, Now + readPeriod(), {}, {}};
   }
   if (Now < m_NextAction)
@@ -64,11 +65,12 @@
     return write(Now, m_Seen);
   if (m_Holds)
     return write(Now, {{}, {}, m_Seen.m_Term, m_Seen.m_Renewal});
-  const bool Free = !m_Exists || m_Seen.m_Holder.empty();
+  const bool IsFree = !m_Exists || m_Seen.m_Holder.empty();
   const TimePoint Expires =
-      m_ChangeSeen + m_Limits.m_Duration + m_Limits.m_Margin;
-  if (Free || Now >= Expires)
-    return write(Now, {m_Self, m_Life, m_Seen.m_Term + 1, m_Seen.m_Renewal});
+      m_LastChange + m_Limits.m_Duration + m_Limits.m_Margin;
+  if (IsFree || Now >= Expires)
+    return write(Now,
+                 {m_Self, m_Incarnation, m_Seen.m_Term + 1, m_Seen.m_Renewal});
   return {Step::Kind::Read, Now, {}, {}};
 }
 
@@ -82,22 +84,23 @@
     return;
   }
   if (At < m_At && m_Exists) {
-    m_NextAction = Now + readPeriod(); // a stale read says nothing
+    m_NextAction = Now + readPeriod(); // ignore a stale read
     return;
   }
   if (!m_Exists || At != m_At)
-    m_ChangeSeen = Now;
+    m_LastChange = Now;
   m_Exists = true;
   m_At = At;
   m_Seen = *Record;
-  // A write whose answer was lost did take effect.
-  if (mine(*Record) && *Record == m_Tried)
-    return onWritten(m_TriedAt, At);
-  m_Holds = m_Holds && mine(*Record);
+  // A write whose response was lost took effect.
+  if (isOwn(*Record) && *Record == m_LastWrite)
+    return onWritten(m_LastWriteAt, At);
+  m_Holds = m_Holds && isOwn(*Record);
   const TimePoint Expires =
-      m_ChangeSeen + m_Limits.m_Duration + m_Limits.m_Margin;
-  const bool Free = Record->m_Holder.empty() || Now >= Expires;
-  m_NextAction = Free || m_Holds ? Now : std::min(Expires, Now + readPeriod());
+      m_LastChange + m_Limits.m_Duration + m_Limits.m_Margin;
+  const bool IsFree = Record->m_Holder.empty() || Now >= Expires;
+  m_NextAction =
+      IsFree || m_Holds ? Now : std::min(Expires, Now + readPeriod());
 }
 
 void Lease::onUnread(TimePoint Now) {
@@ -108,10 +111,10 @@
 void Lease::onWritten(TimePoint Asked, Revision At) {
   m_Exists = true;
   m_At = At;
-  m_Seen = m_Tried;
+  m_Seen = m_LastWrite;
   m_MustRead = false;
-  m_ChangeSeen = Asked;
-  m_Holds = mine(m_Seen);
+  m_LastChange = Asked;
+  m_Holds = isOwn(m_Seen);
   m_Until = Asked + m_Limits.m_Duration;
   m_NextAction = Asked + readPeriod();
 }
--- a/test/claims-test.cc
+++ b/test/claims-test.cc
@@ -48,17 +48,17 @@
   std::uint64_t m_Calls = 0;
 };
 
-/// How the next operations of an entry go wrong.
+/// Faults of an entry's operations.
 enum class Fault { None, Down, AnswerLost, RequestLost, RequestDelayed };
 
-/// One entry: its log, and the platform's answers to it.
+/// One entry with its log, connected to the platform.
 class Entry {
 public:
   Entry(std::string Name, FakePlatform &Platform,
         ClaimLogSettings Settings = {})
       : m_Platform(Platform), m_Log(std::move(Name), Settings) {}
 
-  /// Performs one action; false when there is nothing to do.
+  /// Performs one action; returns false if there is none.
   bool step(TimePoint Now, Fault With = Fault::None) {
     const ClaimAction Action = m_Log.next(Now);
     collect();
@@ -89,7 +89,7 @@
     return Found->second.m_Verdict;
   }
 
-  /// A create that was lost on the way and arrives only now.
+  /// Delivers delayed creates to the platform.
   void deliverDelayed() {
     for (const AppendLog &Each : m_Delayed)
       m_Platform.create(Each.m_Number, Each.m_Batch);
@@ -135,7 +135,7 @@
 
 constexpr TimePoint Start{1h};
 
-TEST(ClaimLog, GrantsAKeyOnceAndTellsTheOthersWhoHasIt) {
+TEST(ClaimLog, GrantsAKeyOnceAndReportsItsClaimToOthers) {
   FakePlatform Platform;
   Entry One("one", Platform);
   Entry Two("two", Platform);
@@ -153,7 +153,7 @@
   EXPECT_EQ(Two.m_Settled.at(1).m_Claim.m_Instance.m_Text, "agent-1");
 }
 
-TEST(ClaimLog, GathersWhatComesWhileAnAppendIsUnderWay) {
+TEST(ClaimLog, BatchesWaitingClaims) {
   FakePlatform Platform;
   Entry One("one", Platform);
   One.run(Start);
@@ -172,7 +172,7 @@
   std::optional<Verdict> m_Expected;
 };
 
-TEST(ClaimLog, EndsTruthfullyUnderEachFault) {
+TEST(ClaimLog, ReportsTheTrueOutcomeUnderEachFault) {
   const FaultCase Cases[] = {
       {"down", Fault::Down, Verdict::Refused},
       {"answer lost", Fault::AnswerLost, Verdict::Granted},
@@ -223,17 +223,18 @@
   EXPECT_EQ(One.verdict(1), Verdict::Refused);
 }
 
-/// Frozen before its create, an entry wakes up when the objects that it had
-/// not seen are deleted, so its create succeeds once more.
-TEST(ClaimLog, GrantsNothingToAProcessThatWasFrozenTooLong) {
+/// An entry is paused before its create and resumes after the objects that it
+/// had not seen were deleted, so its create succeeds although the key was
+/// claimed.
+TEST(ClaimLog, GrantsNothingAfterALongPause) {
   FakePlatform Platform;
-  Entry Frozen("frozen", Platform);
+  Entry Paused("frozen", Platform);
   Entry Other("other", Platform);
-  Frozen.run(Start);
+  Paused.run(Start);
   Other.run(Start);
   Other.m_Log.setDeletes(true);
-  Frozen.submit(1, "k", Start);
-  const ClaimAction Action = Frozen.m_Log.next(Start);
+  Paused.submit(1, "k", Start);
+  const ClaimAction Action = Paused.m_Log.next(Start);
   const auto &Append = std::get<AppendLog>(Action);
   Other.submit(1, "k", Start);
   Other.run(Start);
@@ -243,15 +244,15 @@
   ASSERT_FALSE(Platform.get(Append.m_Number));
   ASSERT_EQ(Platform.create(Append.m_Number, Append.m_Batch),
             FakePlatform::Answer::Created);
-  Frozen.m_Log.appended({Platform.m_Revision}, Start + 11min);
-  Frozen.collect();
-  EXPECT_NE(Frozen.verdict(1), Verdict::Granted);
-  Frozen.submit(2, "x", Start + 11min);
-  Frozen.run(Start + 11min);
-  EXPECT_EQ(Frozen.verdict(2), Verdict::Taken);
+  Paused.m_Log.appended({Platform.m_Revision}, Start + 11min);
+  Paused.collect();
+  EXPECT_NE(Paused.verdict(1), Verdict::Granted);
+  Paused.submit(2, "x", Start + 11min);
+  Paused.run(Start + 11min);
+  EXPECT_EQ(Paused.verdict(2), Verdict::Taken);
 }
 
-TEST(ClaimLog, AnEntryThatWasIdleProvesItsPositionFirst) {
+TEST(ClaimLog, AnIdleEntryVerifiesItsPositionFirst) {
   FakePlatform Platform;
   Entry Idle("idle", Platform);
   Entry Busy("busy", Platform);
@@ -284,8 +285,8 @@
   EXPECT_EQ(One.m_Log.known(), 0u);
 }
 
-/// Any number of entries under any mix of faults: a run of a key is granted
-/// once, and a later attempt only stands after the earlier one.
+/// Randomized: several entries under mixed faults must grant each key only
+/// once.
 TEST(ClaimLog, NeverGrantsARunTwice) {
   for (unsigned Seed = 1; Seed <= 300; ++Seed) {
     std::mt19937 Random(Seed);
@@ -308,8 +309,9 @@
         KeyOf[Next] = Key;
         Chosen.submit(Next++, Key, Now);
       }
-      const unsigned Luck = Draw(20);
-      const Fault With = Luck < 5 ? static_cast<Fault>(Luck) : Fault::None;
+      const unsigned FaultDraw = Draw(20);
+      const Fault With =
+          FaultDraw < 5 ? static_cast<Fault>(FaultDraw) : Fault::None;
       Chosen.step(Now, With);
       if (Draw(30) == 0)
         Entries[Draw(3)]->deliverDelayed();
@@ -334,7 +336,7 @@
   }
 }
 
-TEST(ClaimBatch, SurvivesItsJson) {
+TEST(ClaimBatch, RoundTripsThroughJson) {
   const ClaimBatch Batch{"e-1-2", {{"k", {"agent-1"}, {9}, 12, 3}}};
   const auto Read =
       outcomeOf([&] { return parseClaimBatch(formatClaimBatch(Batch)); });
@@ -364,7 +366,7 @@
   return {"k", Attempt, CallRecords::ticketAt(Now)};
 }
 
-TEST(CallRecords, RunsAKeyOnceWhateverBecameOfIt) {
+TEST(CallRecords, StartsAKeyOnceInEveryState) {
   const RecordCase Cases[] = {{"running", RunState::Running},
                               {"done", RunState::Done},
                               {"lost", RunState::Unknown}};
@@ -392,10 +394,10 @@
   EXPECT_EQ(Records.fence(runAt(Start, 2), Start), RunState::Running);
 }
 
-/// Twelve callers with one key asked about each other's claims before the runs
-/// had arrived; each question ruled out the run of the claim before, and after
-/// four rounds all were told that no instance took it.
-TEST(CallRecords, ARunIsAwaitedUntilItArrivesOrIsRuledOut) {
+/// Twelve callers with one key queried each other's claims before the runs had
+/// arrived. Each query fenced the run of the previous claim, and after four
+/// rounds all were told that no instance accepted it.
+TEST(CallRecords, ARunIsAwaitedUntilItArrivesOrIsFenced) {
   CallRecords Records;
   EXPECT_TRUE(Records.isAwaited(runAt(Start)));
   Records.fence(runAt(Start), Start);
@@ -408,13 +410,13 @@
   EXPECT_FALSE(Records.isAwaited(runAt(Start, 3)));
 }
 
-TEST(CallRecords, RefusesWhatAFrozenEntrySendsLate) {
+TEST(CallRecords, RefusesExpiredTickets) {
   CallRecords Records;
   EXPECT_EQ(Records.admit(runAt(Start), Start + 31s), RunAdmission::Refused);
   EXPECT_EQ(Records.admit(runAt(Start), Start + 30s), RunAdmission::Start);
 }
 
-TEST(CallRecords, SaysUnknownOfWhatItMayHaveForgotten) {
+TEST(CallRecords, ReportsUnknownForEvictedRuns) {
   CallRecords Records;
   ASSERT_EQ(Records.admit(runAt(Start), Start), RunAdmission::Start);
   Records.done("k", Start);
@@ -427,7 +429,7 @@
             RunState::NeverRan);
 }
 
-TEST(CallRecords, RefusesRatherThanForgetsWhenFull) {
+TEST(CallRecords, RefusesNewRunsWhenFull) {
   CallRecords Records({.m_MaxRecords = 2});
   const std::uint64_t Ticket = CallRecords::ticketAt(Start);
   ASSERT_EQ(Records.admit({"a", 1, Ticket}, Start), RunAdmission::Start);
@@ -437,7 +439,7 @@
   EXPECT_EQ(Records.fence({"a", 1, Ticket}, Start), RunState::Running);
 }
 
-TEST(CallRecords, KeepsOnlyAnswersThatFit) {
+TEST(CallRecords, StoresOnlyAnswersThatFit) {
   CallRecords Records({.m_MaxAnswerBytes = 4});
   ASSERT_EQ(Records.admit(runAt(Start), Start), RunAdmission::Start);
   Records.done("k", Start, StoredAnswer{200, "t", "12345"});
--- a/test/engine-status-test.cc
+++ b/test/engine-status-test.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-TEST(EngineStatus, ReadsWhatIsKnownAndLeavesTheRest) {
+TEST(EngineStatus, IgnoresUnknownMembers) {
   const std::string Digest(64, 'a');
   const auto Parsed = outcomeOf([&] {
     return parseEngineStatus(
@@ -23,7 +23,7 @@
   EXPECT_EQ(Parsed->m_Fence.m_Value, 4U);
 }
 
-TEST(EngineStatus, RefusesADigestThatIsNone) {
+TEST(EngineStatus, RefusesAnInvalidDigest) {
   const auto Parsed = outcomeOf([] {
     return parseEngineStatus(
         R"({"loaded":[{"weights":"m@1","digest":"x","state":"active"}]})");
--- a/test/fleet-test.cc
+++ b/test/fleet-test.cc
@@ -16,10 +16,10 @@
   return Out;
 }
 
-TEST(Fleet, NamesWhereTheWeightsOfEachServiceComeFrom) {
+TEST(Fleet, FindsTheWeightsSourceOfEachService) {
   FleetDeclaration Declared;
   Declared.m_Services = {serviceOf("pool", "m"), serviceOf("plain", "")};
-  EXPECT_TRUE(sourcesOf(Declared).empty()); // No origin yet.
+  EXPECT_TRUE(sourcesOf(Declared).empty()); // no origin yet
   Declared.m_Services.push_back(serviceOf("origin", "", "10.0.0.1:80"));
   Declared.m_Services.back().m_OriginMbps = 9;
   const std::vector<WeightsSource> Expected{{{"pool"}, "m", "10.0.0.1:80", 9}};
--- a/test/lease-test.cc
+++ b/test/lease-test.cc
@@ -30,7 +30,7 @@
   }
 };
 
-/// A candidate whose clock started at some time of its own and may run fast.
+/// A candidate whose clock has an offset and a speed of its own.
 struct Candidate {
   Candidate(const char *Name, Duration Offset = {}, double Speed = 1)
       : m_Lease(InstanceId{Name}, {1}, Limits), m_Offset(Offset),
@@ -42,7 +42,7 @@
   }
   bool held(Duration Real) const { return m_Lease.held(at(Real)); }
 
-  /// Does everything that is due at this time.
+  /// Performs all steps that are due.
   void run(Duration Real, LeaseObject &Object, bool LoseAnswer = false,
            bool Down = false) {
     for (int I = 0; I < 4; ++I) {
@@ -69,10 +69,10 @@
   Duration m_Offset;
   double m_Speed;
   bool m_Wanted = true;
-  unsigned m_Calls = 0; ///< of the platform
+  unsigned m_Calls = 0; ///< to the platform
 };
 
-TEST(Lease, OneOfTwoHoldsAndGivesItBack) {
+TEST(Lease, OneCandidateHoldsAndReleasesIt) {
   LeaseObject Object;
   Candidate A("a");
   Candidate B("b");
@@ -88,21 +88,21 @@
   EXPECT_EQ(B.m_Lease.term(), 2U);
 }
 
-TEST(Lease, APausedHolderHasStoppedBeforeAnotherStarts) {
+TEST(Lease, APausedHolderStopsBeforeAnotherStarts) {
   LeaseObject Object;
   Candidate A("a");
   Candidate B("b");
   A.run(0s, Object);
-  Duration Taken{};
-  for (Duration T = 0s; T < 60s && Taken == Duration{}; T += 100ms) {
+  Duration TakenOverAt{};
+  for (Duration T = 0s; T < 60s && TakenOverAt == Duration{}; T += 100ms) {
     B.run(T, Object);
     EXPECT_FALSE(A.held(T) && B.held(T)) << T.count();
     if (B.held(T))
-      Taken = T;
+      TakenOverAt = T;
   }
-  EXPECT_GE(Taken, 11s);
-  A.run(Taken, Object); // wakes up
-  EXPECT_FALSE(A.held(Taken));
+  EXPECT_GE(TakenOverAt, 11s);
+  A.run(TakenOverAt, Object); // resumes
+  EXPECT_FALSE(A.held(TakenOverAt));
   EXPECT_GT(B.m_Lease.term(), 1U);
 }
 
@@ -137,7 +137,7 @@
                                          ClockCase{"Slow", 5s, 0.85}),
                          [](const auto &Info) { return Info.param.m_Name; });
 
-TEST(Lease, ALostAnswerIsFoundByReading) {
+TEST(Lease, ALostResponseIsRecoveredByReading) {
   LeaseObject Object;
   Candidate A("a");
   A.run(0s, Object, true);
@@ -152,14 +152,14 @@
   LeaseObject Object;
   Candidate A("a");
   A.run(0s, Object);
-  A.run(3s, Object, true); // took effect, unknown to the holder
+  A.run(3s, Object, true); // took effect, but the response was lost
   for (Duration T = 3s; T <= 5s; T += 100ms)
     A.run(T, Object);
   EXPECT_TRUE(A.held(11s));
   EXPECT_FALSE(A.m_Lease.heldUntil() > A.at(5s) + Limits.m_Duration);
 }
 
-TEST(Lease, AHolderWithoutThePlatformStopsInTime) {
+TEST(Lease, AHolderStopsInTimeWithoutThePlatform) {
   LeaseObject Object;
   Candidate A("a");
   A.run(0s, Object);
@@ -171,7 +171,7 @@
   EXPECT_FALSE(A.held(9s));
 }
 
-TEST(Lease, ARestartUnderTheSameNameIsAnotherHolder) {
+TEST(Lease, ANewIncarnationIsAnotherHolder) {
   LeaseObject Object;
   Candidate A("a");
   A.run(0s, Object);
@@ -181,7 +181,7 @@
   EXPECT_FALSE(Again.held(1s));
 }
 
-TEST(Lease, AHolderWhoseNameAnotherLifeTookStopsAtOnce) {
+TEST(Lease, AHolderStopsWhenANewIncarnationTakesOver) {
   LeaseObject Object;
   Candidate A("a");
   A.run(0s, Object);
@@ -193,8 +193,8 @@
   EXPECT_FALSE(A.held(4s));
 }
 
-/// The three that stand ready, with the platform down for ten minutes.
-TEST(Lease, TenMinutesOfOutageEndWithOneHolderAndFewCalls) {
+/// Three candidates while the platform is down for ten minutes.
+TEST(Lease, ALongOutageEndsWithOneHolderAndFewCalls) {
   constexpr Duration Down = 20s;
   constexpr Duration Up = Down + 600s;
   LeaseObject Object;
@@ -217,21 +217,21 @@
     for (Candidate &Each : All)
       Each.run(T, Object, false, T >= Down && T < Up);
     ASSERT_LE(Held(T), 1) << T.count();
-    // None acts on a right that it cannot renew.
+    // No candidate holds the lease when it cannot be renewed.
     if (T >= Down + Limits.m_Duration * 2 && T < Up) {
       ASSERT_EQ(Held(T), 0) << T.count();
     }
-    // The first second after it: no more than one read and write each.
+    // In the first second after the outage, at most one read and write each.
     if (T == Up + 1s) {
       EXPECT_LE(Calls() - AtUp, 2 * All.size());
     }
   }
   EXPECT_EQ(Held(Up + 59s), 1);
-  // A read every third of the duration, by each clock.
+  // One read per third of the duration, by each candidate's clock.
   EXPECT_LE(AtUp - AtDown, 3 * 200 * 12 / 10);
 }
 
-TEST(Lease, AStaleReadDoesNotMoveTheTakeOver) {
+TEST(Lease, AStaleReadDoesNotDelayTheTakeover) {
   LeaseObject Object;
   Candidate A("a");
   Candidate B("b");
@@ -240,7 +240,7 @@
   LeaseObject Stale = Object;
   A.run(3s, Object);
   B.run(3s, Object);
-  B.run(6s, Stale); // as of before the renewal
+  B.run(6s, Stale); // state before the renewal
   for (Duration T = 6s; T < 14s; T += 100ms) {
     B.run(T, Object);
     EXPECT_FALSE(B.held(T)) << T.count();
