--- a/include/deckpitch/swarm.h
+++ b/include/deckpitch/swarm.h
@@ -46,11 +46,11 @@
   /// Delay per rank before an importer takes a chunk: several times the
   /// transfer time of a chunk over a link of some Mbit/s.
   Duration m_ImportWait = std::chrono::milliseconds(600);
-  /// Backoff after a failed read. It doubles with each consecutive failure up
+  /// Back-off after a failed read. It doubles with each consecutive failure up
   /// to the maximum, so that an origin that loses single answers is retried
   /// soon and one that is down seldom.
   Duration m_OriginRest = std::chrono::milliseconds(100);
-  Duration m_MaxOriginBackoff = std::chrono::seconds(1);
+  Duration m_MaxOriginBackOff = std::chrono::seconds(1);
   /// A chunk that only one peer has held for this long is read from the origin
   /// again, by one instance after the other: all would otherwise wait for the
   /// holder, whose link may be slow. Zero: never.
@@ -59,8 +59,9 @@
   /// link and delayed inference requests to the instance; fewer chunks are then
   /// requested in parallel. Zero: the limit is fixed.
   Duration m_ChunkPatience{};
-  /// Maximum backoff of a single chunk that the origin keeps returning corrupt.
-  Duration m_MaxCorruptBackoff = std::chrono::minutes(1);
+  /// Maximum back-off of a single chunk that the origin keeps returning
+  /// corrupt.
+  Duration m_MaxCorruptBackOff = std::chrono::minutes(1);
   Duration m_Quarantine = std::chrono::seconds(10);
   Duration m_LongQuarantine = std::chrono::minutes(10);
 
@@ -208,7 +209,8 @@
   /// takes remote chunks that no local peer has.
   void setDataCentres(
       const std::map<DataCentreId, std::vector<InstanceId>> &Instances);
-  /// Instances of other data centres that import the same chunks as this one.
+  /// Instances of other data centres that are to read the chunks from the
+  /// origin which this instance imports.
   std::set<InstanceId> importSources() const;
   void setPreference(Preference Value) { m_Options.m_Preference = Value; }
 
@@ -270,7 +272,7 @@
     std::uint32_t m_Useful = 0; ///< chunks held here that the peer lacks
     std::optional<TimePoint> m_Granted;
     TimePoint m_NoGrantUntil{}; ///< after it declined
-    TimePoint m_LastMessageAt{};
+    TimePoint m_LastActivity{};
     std::vector<std::uint32_t> m_Sending;
     std::vector<Transfer> m_Expected;
   };
@@ -280,9 +282,9 @@
     TimePoint m_Until{};
   };
 
-  /// Backoff of a chunk that the origin returned with a wrong digest.
+  /// Back-off of a chunk that the origin returned with a wrong digest.
   struct CorruptRead {
-    Duration m_Backoff{};
+    Duration m_BackOff{};
     TimePoint m_Until{};
   };
 
@@ -339,8 +341,7 @@
   std::map<DataCentreId, std::vector<std::uint32_t>> m_CopiesIn;
   std::map<PeerNumber, Peer> m_Peers;
   std::map<InstanceId, Failure> m_Failures;
-  std::vector<std::uint32_t>
-      m_UnannouncedSeen;       ///< not yet announced to the peers
+  std::vector<std::uint32_t> m_UnannouncedSeen; ///< seen, not yet announced
   TimePoint m_LastAnnounced{}; ///< last announcement to the peers
 
   std::vector<std::uint16_t> m_Rank; ///< of this instance, for each chunk
@@ -353,8 +354,8 @@
   std::vector<TimePoint> m_Unheld; ///< since when no known peer holds it
   std::uint32_t m_DueCount = 0;    ///< chunks below this number are due
   std::set<std::uint32_t> m_Reading;
-  TimePoint m_OriginBackoffUntil{};
-  Duration m_CurrentOriginBackoff{}; ///< length after the last failure
+  TimePoint m_OriginBackOffUntil{};
+  Duration m_CurrentOriginBackOff{}; ///< length after the last failure
   std::map<std::uint32_t, CorruptRead> m_CorruptReads;
   Duration m_SeenDelay{}; ///< moving average from due to seen
   TimePoint m_LastChunkAt{};
--- a/src/kernel/swarm-origin.cc
+++ b/src/kernel/swarm-origin.cc
@@ -12,14 +12,14 @@
 
 namespace {
 
-constexpr std::uint32_t MaxRank =
-    8;                         ///< higher ranks wait no longer than this one
+/// Higher ranks wait no longer than this one.
+constexpr std::uint32_t MaxRank = 8;
 constexpr int DelayFactor = 4; ///< multiple of the average delay
 constexpr int UnheldSteps = 6; ///< before a chunk without known holder is read
-constexpr std::size_t MaxImporters =
-    4; ///< ranked importers of a chunk in a data centre
-constexpr int MaxSteps =
-    4; ///< bounds the delay while faults inflate the average
+/// Ranked importers of a chunk in a data centre.
+constexpr std::size_t MaxImporters = 4;
+/// Bounds the delay while faults inflate the average.
+constexpr int MaxSteps = 4;
 /// Transfer time of a window over the origin's link: longer than announcements
 /// take to reach the whole pool.
 constexpr double WindowMs = 600;
@@ -223,9 +223,9 @@
 
 void Swarm::backOffChunk(std::uint32_t Chunk, TimePoint Now) {
   CorruptRead &Record = m_CorruptReads[Chunk];
-  Record.m_Backoff = std::clamp(2 * Record.m_Backoff, m_Options.m_OriginRest,
-                                m_Options.m_MaxCorruptBackoff);
-  Record.m_Until = Now + Record.m_Backoff;
+  Record.m_BackOff = std::clamp(2 * Record.m_BackOff, m_Options.m_OriginRest,
+                                m_Options.m_MaxCorruptBackOff);
+  Record.m_Until = Now + Record.m_BackOff;
 }
 
 void Swarm::startRead(std::uint32_t Chunk, SwarmActions &Out) {
@@ -238,7 +238,7 @@
   if (complete())
     return;
   advanceWindow(Now);
-  if (Now < m_OriginBackoffUntil || m_Unstaged.count() >= m_Options.m_Unstaged)
+  if (Now < m_OriginBackOffUntil || m_Unstaged.count() >= m_Options.m_Unstaged)
     return;
   for (std::uint32_t Chunk = 0; Chunk < m_DueCount; ++Chunk) {
     if (m_Reading.size() >= m_Options.m_OriginReads)
@@ -277,7 +277,7 @@
   if (How == OriginOutcome::Good && wants(Chunk)) {
     m_Unstaged.insert(Chunk);
     m_CorruptReads.erase(Chunk);
-    m_CurrentOriginBackoff = {};
+    m_CurrentOriginBackOff = {};
     ++m_Counters.m_FromOrigin;
     m_LastChunkAt = Now;
     markSeen(Chunk, Now);
@@ -296,10 +296,10 @@
     readOrigin(Out, Now);
     return Out;
   }
-  m_CurrentOriginBackoff =
-      std::clamp(2 * m_CurrentOriginBackoff, m_Options.m_OriginRest,
-                 m_Options.m_MaxOriginBackoff);
-  m_OriginBackoffUntil = Now + m_CurrentOriginBackoff;
+  m_CurrentOriginBackOff =
+      std::clamp(2 * m_CurrentOriginBackOff, m_Options.m_OriginRest,
+                 m_Options.m_MaxOriginBackOff);
+  m_OriginBackOffUntil = Now + m_CurrentOriginBackOff;
   return Out;
 }
 
--- a/src/kernel/swarm-wait.cc
+++ b/src/kernel/swarm-wait.cc
@@ -11,7 +11,7 @@
   while (m_Here.contains(Out.m_Chunk))
     ++Out.m_Chunk;
   Out.m_Reading = static_cast<std::uint32_t>(m_Reading.size());
-  Out.m_OriginRest = std::max(m_OriginBackoffUntil - Now, Duration::zero());
+  Out.m_OriginRest = std::max(m_OriginBackOffUntil - Now, Duration::zero());
   Out.m_SinceGain = Now - m_LastChunkAt;
   for (const auto &[Number, Each] : m_Peers) {
     const bool IsHolder = Each.m_Has.contains(Out.m_Chunk);
--- a/src/kernel/swarm.cc
+++ b/src/kernel/swarm.cc
@@ -11,8 +11,8 @@
 constexpr std::uint32_t FailuresUntilLongQuarantine = 2;
 constexpr int HedgeDelayFactor = 3; ///< multiple of the average chunk time
 constexpr Duration MinHedgeDelay = std::chrono::milliseconds(200);
-constexpr int AverageDivisor =
-    8; ///< moving averages weigh a new value with 1/8
+/// Moving averages weigh a new value with 1/AverageDivisor.
+constexpr int AverageDivisor = 8;
 /// Initial limit, while nothing is known of the link: the full number of chunks
 /// delayed inference requests by 3 s on a link of 1.2 Mbit/s.
 constexpr double InitialRequestLimit = 2;
@@ -50,7 +50,7 @@
 Swarm::Peer *Swarm::findAndTouch(PeerNumber Number, TimePoint Now) {
   Peer *From = find(Number);
   if (From)
-    From->m_LastMessageAt = Now;
+    From->m_LastActivity = Now;
   return From;
 }
 
@@ -93,7 +93,7 @@
   Added.m_Id = std::move(Id);
   Added.m_IsLocal = DataCentre == m_DataCentre;
   Added.m_DataCentre = std::move(DataCentre);
-  Added.m_LastMessageAt = Now;
+  Added.m_LastActivity = Now;
   Added.m_Has = ChunkSet(m_Here.size());
   Added.m_Useful = m_Here.count();
   Has.forEach([&](std::uint32_t Chunk) { markHas(Added, Chunk, Now); });
@@ -245,16 +245,16 @@
 
 /// Shrinks the limit in proportion to the excess time and grows it slowly.
 void Swarm::adaptRequestLimit(Duration ChunkTook) {
-  const Duration Timeout = m_Options.m_ChunkPatience;
-  if (Timeout == Duration::zero())
+  const Duration Target = m_Options.m_ChunkPatience;
+  if (Target == Duration::zero())
     return;
   const double Most = m_Options.m_Expected;
-  if (ChunkTook > Timeout)
-    m_RequestLimit *= static_cast<double>(Timeout.count()) /
+  if (ChunkTook > Target)
+    m_RequestLimit *= static_cast<double>(Target.count()) /
                       static_cast<double>(ChunkTook.count());
   else
-    m_RequestLimit += ChunkTook < Timeout / FastDivisor ? FastRequestLimitGrowth
-                                                        : RequestLimitGrowth;
+    m_RequestLimit += ChunkTook < Target / FastDivisor ? FastRequestLimitGrowth
+                                                       : RequestLimitGrowth;
   m_RequestLimit = std::clamp(m_RequestLimit, 1.0, Most);
 }
 
@@ -461,7 +461,7 @@
 /// A silent peer counts as stalled too: the copy would otherwise wait for
 /// chunks that only this peer holds.
 bool Swarm::stalled(const Peer &Each, TimePoint Now) const {
-  return Now - Each.m_LastMessageAt > m_Options.m_SilenceTimeout ||
+  return Now - Each.m_LastActivity > m_Options.m_SilenceTimeout ||
          std::any_of(Each.m_Expected.begin(), Each.m_Expected.end(),
                      [&](const Transfer &Open) {
                        return Now - Open.m_Progress > m_Options.m_StallTimeout;
--- a/support/simulation/swarm-simulation.h
+++ b/support/simulation/swarm-simulation.h
@@ -22,8 +22,8 @@
   std::uint32_t m_DataCentres = 1; ///< agents are assigned round-robin
   bool m_SharedLinks = false;      ///< both directions share the bandwidth
   double m_OriginRate = 2.0;       ///< chunks per chunk time of a link
-  Duration m_ChunkTime =
-      std::chrono::milliseconds(100);              ///< of a chunk on a link
+  /// Transfer time of a chunk at a link's rate.
+  Duration m_ChunkTime = std::chrono::milliseconds(100);
   Duration m_Delay = std::chrono::milliseconds(1); ///< one way
   Duration m_StagingTime = std::chrono::milliseconds(2);
   SwarmOptions m_Swarm;
@@ -35,7 +35,8 @@
 struct SimulationResult {
   bool m_Complete = false;
   double m_Slots = 0; ///< until the last copy was complete, in chunk times
-  double m_Bound = 0; ///< M chunks + floor(log2 N agents), in chunk times
+  /// M + floor(log2 N) chunk times for M chunks and N agents.
+  double m_Bound = 0;
   double m_OriginCopies = 0;
   std::uint64_t m_Duplicates = 0;
   std::uint64_t m_Crossings = 0;
--- a/support/simulation/tree-simulation.cc
+++ b/support/simulation/tree-simulation.cc
@@ -122,8 +122,8 @@
     m_Last = m_Now;
     if (!m_FromOrigin)
       passOn(At);
-    pump(m_Nodes[At]
-             .m_Parent); // last, so that a shared link sends before it receives
+    // Last, so that a shared link sends before it receives.
+    pump(m_Nodes[At].m_Parent);
   }
 
   void passOn(std::uint32_t At) {
--- a/test/servable-test.cc
+++ b/test/servable-test.cc
@@ -387,13 +387,13 @@
   void load(const WeightsId &Weights) {
     const auto Copy = m_Copies.find(Weights);
     if (Copy == m_Copies.end())
-      return violated("loaded weights without a copy");
+      return violated("loaded uncopied weights");
     const Edition Of = Copy->second.m_Edition;
     // The engine reports chunks that staging lost after they were stored, and
     // the agent checks all of them again.
     const bool Whole = m_Engine.holds(Of);
     if (!Whole && !m_DamagedStaging.contains(Weights))
-      violated("ordered to load an incomplete copy");
+      violated("ordered to load incomplete weights");
     if (!Whole) {
       m_Copies.erase(Copy);
       return;
--- a/test/swarm-simulation-test.cc
+++ b/test/swarm-simulation-test.cc
@@ -206,8 +206,8 @@
 }
 
 TEST(TreeSimulation, MatchesTheKnownTimesOfTheSchemes) {
-  constexpr double Tolerance =
-      0.05; // of a copy, tolerance for delays and the first hop
+  // In copies, for delays and the first hop.
+  constexpr double Tolerance = 0.05;
   constexpr std::uint32_t Count = 16;
   const auto Copies = [](Scheme By, bool Shared) {
     const SimulationResult Result = baseline(By, Shared, Count);
--- a/test/swarm-test.cc
+++ b/test/swarm-test.cc
@@ -132,7 +132,7 @@
 
 TEST(Swarm, ACorruptChunkBacksOffExponentially) {
   SwarmOptions Options;
-  Options.m_MaxCorruptBackoff = 4 * Options.m_OriginRest;
+  Options.m_MaxCorruptBackOff = 4 * Options.m_OriginRest;
   Swarm Under = makeSwarm(1, Options);
   TimePoint Now = Start;
   EXPECT_EQ(readsOf(0, Under.onTick(Now)), 1U);
@@ -228,30 +228,30 @@
   EXPECT_EQ(Under.counters().m_Duplicates, 1U);
 }
 
-TEST(Swarm, OriginBackoffDoublesUpToTheMaximum) {
+TEST(Swarm, OriginBackOffDoublesUpToTheMaximum) {
   const SwarmOptions Options;
   Swarm Under = makeSwarm(2, Options);
   TimePoint Now = Start;
-  const auto BackoffOf = [&](std::uint32_t Chunk) {
+  const auto BackOffOf = [&](std::uint32_t Chunk) {
     Under.onOriginReply(Chunk, Swarm::OriginOutcome::Failed, Now);
-    Duration Backoff{};
-    while (Backoff < Options.m_MaxOriginBackoff * 2) {
-      Backoff += 10ms;
-      for (const SwarmAction &Each : Under.onTick(Now + Backoff))
+    Duration BackOff{};
+    while (BackOff < Options.m_MaxOriginBackOff * 2) {
+      BackOff += 10ms;
+      for (const SwarmAction &Each : Under.onTick(Now + BackOff))
         if (std::holds_alternative<ReadOrigin>(Each)) {
-          Now += Backoff;
-          return Backoff;
+          Now += BackOff;
+          return BackOff;
         }
     }
-    return Backoff;
+    return BackOff;
   };
   Under.onTick(Now); // Reads both chunks.
   Under.onOriginReply(1, Swarm::OriginOutcome::Good, Now);
-  EXPECT_EQ(BackoffOf(0), Options.m_OriginRest);
-  EXPECT_EQ(BackoffOf(0), 2 * Options.m_OriginRest);
+  EXPECT_EQ(BackOffOf(0), Options.m_OriginRest);
+  EXPECT_EQ(BackOffOf(0), 2 * Options.m_OriginRest);
   for (int I = 0; I < 3; ++I)
-    BackoffOf(0);
-  EXPECT_EQ(BackoffOf(0), Options.m_MaxOriginBackoff);
+    BackOffOf(0);
+  EXPECT_EQ(BackOffOf(0), Options.m_MaxOriginBackOff);
 }
 
 TEST(Swarm, ARequestThatWasNotGrantedIsRefused) {
@@ -351,7 +351,7 @@
   EXPECT_EQ(AtLast, 25 * 48U); // All instances: the importers may be gone.
 }
 
-TEST(Swarm, ImportSourcesAreTheRemoteImporters) {
+TEST(Swarm, ImportSourcesAreTheRemoteOriginReaders) {
   Swarm Under({"near"}, DataCentreId{"lahore"}, 48, {}, 1);
   Under.setDataCentres(
       {{DataCentreId{"lahore"}, {named("near")}},
