--- a/include/deckpitch/swarm.h
+++ b/include/deckpitch/swarm.h
@@ -89,7 +89,7 @@
 enum class LinkVerdict {
   Unknown, ///< too few chunks have arrived
   Sound,
-  Narrow ///< so slow that fewer chunks are requested
+  Slow ///< so slow that fewer chunks are requested
 };
 
 /// Offers a peer one chunk of its choice.
--- a/src/kernel/engine-model.cc
+++ b/src/kernel/engine-model.cc
@@ -51,15 +51,15 @@
   const double Steps = std::max(1U, Profile.m_StepsPerPass);
   const double StepMs = fullStepMs(Profile);
   const double PrefillMs = prefillMs(Profile, Profile.m_UsualPromptTokens);
-  const double BetweenMs = completionIntervalMs(Profile);
+  const double IntervalMs = completionIntervalMs(Profile);
   // Half a pass until its prefill starts, the prefill, and its first pass.
   const double FirstTokenMs = 1.5 * Steps * StepMs + PrefillMs;
   const double SlackMs =
       DefaultPlannedShare * static_cast<double>(Objective.count()) -
       FirstTokenMs;
-  const double Queued = std::clamp(SlackMs / std::max(BetweenMs, 0.001), 0.0,
+  const double Queued = std::clamp(SlackMs / std::max(IntervalMs, 0.001), 0.0,
                                    MostQueuedShare * Slots);
-  return {Slots + std::floor(Queued), fromMs(BetweenMs)};
+  return {Slots + std::floor(Queued), fromMs(IntervalMs)};
 }
 
 Duration streamTime(const EngineProfile &Profile, const StreamSize &Size) {
--- a/src/kernel/swarm.cc
+++ b/src/kernel/swarm.cc
@@ -263,7 +263,7 @@
     return LinkVerdict::Unknown;
   if (m_RequestLimit * 2 >= m_Options.m_Expected)
     return LinkVerdict::Sound;
-  return m_RequestLimit < InitialRequestLimit ? LinkVerdict::Narrow
+  return m_RequestLimit < InitialRequestLimit ? LinkVerdict::Slow
                                               : LinkVerdict::Unknown;
 }
 
@@ -296,10 +296,10 @@
   const Duration Timeout =
       std::max(MinHedgeDelay, HedgeDelayFactor * m_ChunkTime);
   for (const auto &[Number, Each] : m_Peers)
-    for (const Transfer &Slow : Each.m_Expected)
-      if (&Each != &From && From.m_Has.contains(Slow.m_Chunk) &&
-          wants(Slow.m_Chunk) && Now - Slow.m_Asked > Timeout)
-        return Slow.m_Chunk;
+    for (const Transfer &Delayed : Each.m_Expected)
+      if (&Each != &From && From.m_Has.contains(Delayed.m_Chunk) &&
+          wants(Delayed.m_Chunk) && Now - Delayed.m_Asked > Timeout)
+        return Delayed.m_Chunk;
   return std::nullopt;
 }
 
--- a/test/assignment-test.cc
+++ b/test/assignment-test.cc
@@ -9,7 +9,7 @@
 const WeightsId Old{"m@1"};
 const WeightsId New{"m@2"};
 
-struct World {
+struct FleetModel {
   DeclarationSet m_Declarations;
   MembershipView m_Members;
 
@@ -53,121 +53,121 @@
 }
 
 TEST(Assignment, MeetsTheReadinessOfEachDataCentre) {
-  World Under;
-  Under.pool("chat", "1",
-             {{DataCentreId{"lahore"}, 2}, {DataCentreId{"multan"}, 1}});
+  FleetModel Subject;
+  Subject.pool("chat", "1",
+               {{DataCentreId{"lahore"}, 2}, {DataCentreId{"multan"}, 1}});
   for (const char *Name : {"a", "b", "c"})
-    Under.agent(Name, "lahore");
-  Under.agent("d", "multan");
-  const Assignment Plan = Under.plan();
+    Subject.agent(Name, "lahore");
+  Subject.agent("d", "multan");
+  const Assignment Plan = Subject.plan();
   EXPECT_EQ(countOf(Plan, {PoolId{"chat"}, Old}), 3U);
   EXPECT_TRUE(Plan.m_Instances.contains(InstanceId{"d"}));
 }
 
 TEST(Assignment, MovesNoInstanceWithoutNeed) {
-  World Under;
-  Under.pool("chat", "1", {{DataCentreId{"lahore"}, 2}});
-  Under.pool("code", "7", {{DataCentreId{"lahore"}, 1}});
+  FleetModel Subject;
+  Subject.pool("chat", "1", {{DataCentreId{"lahore"}, 2}});
+  Subject.pool("code", "7", {{DataCentreId{"lahore"}, 1}});
   for (const char *Name : {"a", "b", "c", "d"})
-    Under.agent(Name, "lahore");
-  Under.m_Declarations.m_Assignment.m_Value = Under.plan();
-  EXPECT_EQ(Under.plan(), Under.m_Declarations.m_Assignment.m_Value);
-  Under.m_Members.m_Members.erase(InstanceId{"a"});
-  const Assignment After = Under.plan();
+    Subject.agent(Name, "lahore");
+  Subject.m_Declarations.m_Assignment.m_Value = Subject.plan();
+  EXPECT_EQ(Subject.plan(), Subject.m_Declarations.m_Assignment.m_Value);
+  Subject.m_Members.m_Members.erase(InstanceId{"a"});
+  const Assignment After = Subject.plan();
   std::size_t Moved = 0;
   for (const auto &[Id, Each] : After.m_Instances)
     Moved +=
-        Under.assignments().contains(Id) && Under.assignments()[Id] != Each;
+        Subject.assignments().contains(Id) && Subject.assignments()[Id] != Each;
   EXPECT_EQ(Moved, 0U);
   EXPECT_EQ(After.m_Instances.size(), 3U);
 }
 
 TEST(Assignment, PrefersInstancesThatHoldTheWeights) {
-  World Under;
-  Under.pool("chat", "1", {{DataCentreId{"lahore"}, 1}});
-  Under.agent("a", "lahore");
-  Under.agent("b", "lahore").m_Serving.m_Weights = Old;
-  EXPECT_TRUE(Under.plan().m_Instances.contains(InstanceId{"b"}));
+  FleetModel Subject;
+  Subject.pool("chat", "1", {{DataCentreId{"lahore"}, 1}});
+  Subject.agent("a", "lahore");
+  Subject.agent("b", "lahore").m_Serving.m_Weights = Old;
+  EXPECT_TRUE(Subject.plan().m_Instances.contains(InstanceId{"b"}));
 }
 
 TEST(Assignment, DropsMembersThatLeave) {
-  World Under;
-  Under.pool("chat", "1", {{DataCentreId{"lahore"}, 1}});
-  Under.serving("a", "lahore", "Serving").m_State = MemberState::Leaving;
-  Under.agent("b", "lahore");
-  const Assignment Plan = Under.plan();
+  FleetModel Subject;
+  Subject.pool("chat", "1", {{DataCentreId{"lahore"}, 1}});
+  Subject.serving("a", "lahore", "Serving").m_State = MemberState::Leaving;
+  Subject.agent("b", "lahore");
+  const Assignment Plan = Subject.plan();
   EXPECT_FALSE(Plan.m_Instances.contains(InstanceId{"a"}));
   EXPECT_TRUE(Plan.m_Instances.contains(InstanceId{"b"}));
 }
 
 TEST(Assignment, SwapsWithoutDowntimeHappenAllAtOnce) {
-  World Under;
-  Under.pool("chat", "2", {{DataCentreId{"lahore"}, 3}});
+  FleetModel Subject;
+  Subject.pool("chat", "2", {{DataCentreId{"lahore"}, 3}});
   for (const char *Name : {"a", "b", "c"})
-    Under.serving(Name, "lahore", ConditionLoaded);
-  EXPECT_EQ(countOf(Under.plan(), {PoolId{"chat"}, New}), 3U);
+    Subject.serving(Name, "lahore", ConditionLoaded);
+  EXPECT_EQ(countOf(Subject.plan(), {PoolId{"chat"}, New}), 3U);
 }
 
 TEST(Assignment, DrainsAtMostMaxUnavailable) {
-  World Under;
-  Under.pool("chat", "2", {{DataCentreId{"lahore"}, 4}}).m_MaxUnavailable = 2;
+  FleetModel Subject;
+  Subject.pool("chat", "2", {{DataCentreId{"lahore"}, 4}}).m_MaxUnavailable = 2;
   for (const char *Name : {"a", "b", "c", "d"})
-    Under.serving(Name, "lahore", ConditionStaged);
+    Subject.serving(Name, "lahore", ConditionStaged);
   const AssignedPool Target{PoolId{"chat"}, New};
-  Under.m_Declarations.m_Assignment.m_Value = Under.plan();
-  EXPECT_EQ(countOf(Under.m_Declarations.m_Assignment.m_Value, Target), 2U);
-  EXPECT_EQ(countOf(Under.plan(), Target), 2U);
+  Subject.m_Declarations.m_Assignment.m_Value = Subject.plan();
+  EXPECT_EQ(countOf(Subject.m_Declarations.m_Assignment.m_Value, Target), 2U);
+  EXPECT_EQ(countOf(Subject.plan(), Target), 2U);
   // One of the two serves the new weights, so the next may drain.
-  for (auto &[Id, Each] : Under.assignments())
+  for (auto &[Id, Each] : Subject.assignments())
     if (Each == Target) {
-      Under.m_Members.m_Members.at(Id).m_Serving.m_Weights = New;
+      Subject.m_Members.m_Members.at(Id).m_Serving.m_Weights = New;
       break;
     }
-  EXPECT_EQ(countOf(Under.plan(), Target), 3U);
+  EXPECT_EQ(countOf(Subject.plan(), Target), 3U);
 }
 
 TEST(Assignment, APausedPoolKeepsItsWeights) {
-  World Under;
-  Under.pool("chat", "2", {{DataCentreId{"lahore"}, 2}}).m_Paused = true;
+  FleetModel Subject;
+  Subject.pool("chat", "2", {{DataCentreId{"lahore"}, 2}}).m_Paused = true;
   for (const char *Name : {"a", "b"})
-    Under.serving(Name, "lahore", ConditionLoaded);
-  Under.agent("c", "lahore");
-  EXPECT_EQ(countOf(Under.plan(), {PoolId{"chat"}, Old}), 2U);
+    Subject.serving(Name, "lahore", ConditionLoaded);
+  Subject.agent("c", "lahore");
+  EXPECT_EQ(countOf(Subject.plan(), {PoolId{"chat"}, Old}), 2U);
 }
 
 TEST(Assignment, AnInstanceStillCopyingKeepsServing) {
-  World Under;
-  Under.pool("chat", "2", {{DataCentreId{"lahore"}, 1}});
-  Under.serving("a", "lahore", "Copying");
-  EXPECT_EQ(countOf(Under.plan(), {PoolId{"chat"}, Old}), 1U);
+  FleetModel Subject;
+  Subject.pool("chat", "2", {{DataCentreId{"lahore"}, 1}});
+  Subject.serving("a", "lahore", "Copying");
+  EXPECT_EQ(countOf(Subject.plan(), {PoolId{"chat"}, Old}), 1U);
 }
 
 TEST(Assignment, ANewDeciderWaitsForAssignedInstances) {
-  World Under;
-  Under.pool("chat", "1", {{DataCentreId{"lahore"}, 2}});
-  Under.serving("a", "lahore", "Serving");
-  Under.serving("b", "lahore", "Serving");
-  const auto Missing = Under.m_Members.m_Members.extract(InstanceId{"b"});
-  const Assignment &InForce = Under.m_Declarations.m_Assignment.m_Value;
+  FleetModel Subject;
+  Subject.pool("chat", "1", {{DataCentreId{"lahore"}, 2}});
+  Subject.serving("a", "lahore", "Serving");
+  Subject.serving("b", "lahore", "Serving");
+  const auto Missing = Subject.m_Members.m_Members.extract(InstanceId{"b"});
+  const Assignment &InForce = Subject.m_Declarations.m_Assignment.m_Value;
   const auto May = [&](std::chrono::milliseconds SinceTakeover) {
-    return mayPlan(InForce, Under.m_Members, SinceTakeover);
+    return mayPlan(InForce, Subject.m_Members, SinceTakeover);
   };
   // Planning now would drop b, which has not reported yet.
-  EXPECT_FALSE(Under.plan().m_Instances.contains(InstanceId{"b"}));
+  EXPECT_FALSE(Subject.plan().m_Instances.contains(InstanceId{"b"}));
   EXPECT_FALSE(May(std::chrono::milliseconds(0)));
   EXPECT_FALSE(May(MaxSettlingTime - std::chrono::milliseconds(1)));
   EXPECT_TRUE(May(MaxSettlingTime));
-  Under.agent("b", "lahore").m_State = MemberState::Suspect;
+  Subject.agent("b", "lahore").m_State = MemberState::Suspect;
   EXPECT_TRUE(May(std::chrono::milliseconds(0)));
-  EXPECT_TRUE(Under.plan().m_Instances.contains(InstanceId{"b"}));
+  EXPECT_TRUE(Subject.plan().m_Instances.contains(InstanceId{"b"}));
 }
 
 TEST(Assignment, TheFirstPlanDoesNotWait) {
-  World Under;
-  Under.pool("chat", "1", {{DataCentreId{"lahore"}, 2}});
-  Under.agent("a", "lahore");
-  EXPECT_TRUE(
-      mayPlan(Under.m_Declarations.m_Assignment.m_Value, Under.m_Members, {}));
+  FleetModel Subject;
+  Subject.pool("chat", "1", {{DataCentreId{"lahore"}, 2}});
+  Subject.agent("a", "lahore");
+  EXPECT_TRUE(mayPlan(Subject.m_Declarations.m_Assignment.m_Value,
+                      Subject.m_Members, {}));
 }
 
 } // namespace
--- a/test/servable-test.cc
+++ b/test/servable-test.cc
@@ -99,9 +99,9 @@
 
 /// One instance that is driven by random events. Its agent is a small model of
 /// how the daemon carries out the kernel's decisions.
-class World {
+class InstanceModel {
 public:
-  explicit World(int Seed)
+  explicit InstanceModel(int Seed)
       : m_Random(static_cast<std::uint32_t>(Seed)), m_Current(Versions) {
     for (std::uint32_t I = 0; I < Versions; ++I)
       m_Current[I].m_Version = I;
@@ -442,23 +442,23 @@
 TEST(Servable, ServesOnlyVerifiedAndConfirmedWeights) {
   int Served = 0;
   for (int Seed = 0; Seed < Seeds; ++Seed) {
-    World Under(Seed);
-    for (int I = 0; I < RandomEvents && Under.violation().empty(); ++I)
-      Under.randomEvent();
-    ASSERT_EQ(Under.violation(), "") << "seed " << Seed;
-    Served += Under.timesServed();
+    InstanceModel Subject(Seed);
+    for (int I = 0; I < RandomEvents && Subject.violation().empty(); ++I)
+      Subject.randomEvent();
+    ASSERT_EQ(Subject.violation(), "") << "seed " << Seed;
+    Served += Subject.timesServed();
   }
   EXPECT_GT(Served, Seeds) << "weights hardly ever served";
 }
 
 TEST(Servable, ServesWhenTheFaultsEnd) {
   for (int Seed = 0; Seed < Seeds; ++Seed) {
-    World Under(Seed);
+    InstanceModel Subject(Seed);
     for (int I = 0; I < RandomEvents; ++I)
-      Under.randomEvent();
-    ASSERT_TRUE(Under.servesWithoutFaults())
-        << "seed " << Seed << ": " << Under.describe();
-    ASSERT_EQ(Under.violation(), "") << "seed " << Seed;
+      Subject.randomEvent();
+    ASSERT_TRUE(Subject.servesWithoutFaults())
+        << "seed " << Seed << ": " << Subject.describe();
+    ASSERT_EQ(Subject.violation(), "") << "seed " << Seed;
   }
 }
 
--- a/test/swarm-simulation-test.cc
+++ b/test/swarm-simulation-test.cc
@@ -50,9 +50,10 @@
     SCOPED_TRACE(Seed);
     SimulationOptions Options = options();
     Options.m_Seed = Seed;
-    SwarmSimulation Under(Options);
-    GetParam().m_Fault(Under);
-    const SimulationResult Result = Under.run(limitOf(GetParam(), Options));
+    SwarmSimulation Simulation(Options);
+    GetParam().m_Fault(Simulation);
+    const SimulationResult Result =
+        Simulation.run(limitOf(GetParam(), Options));
     EXPECT_TRUE(Result.m_Complete);
     EXPECT_LE(Result.ratio(), GetParam().m_MaxRatio);
     EXPECT_LE(Result.m_OriginCopies, GetParam().m_MaxCopies);
@@ -135,9 +136,9 @@
 TEST(SwarmSimulation, ASlowLinkDoesNotDelayTheOthers) {
   SimulationOptions Options = options();
   Options.m_Slow[3] = 10.0;
-  SwarmSimulation Under(Options);
-  Under.run(17s); // 1.25 times the bound of 13.2 s
-  EXPECT_EQ(Under.completeAgents(), Agents - 1);
+  SwarmSimulation Simulation(Options);
+  Simulation.run(17s); // 1.25 times the bound of 13.2 s
+  EXPECT_EQ(Simulation.completeAgents(), Agents - 1);
 }
 
 TEST(SwarmSimulation, OneCopyIsReadFromTheOriginAtAnySize) {
