--- a/test/swarm-test.cc
+++ b/test/swarm-test.cc
@@ -28,66 +28,66 @@
   return Swarm(named("self"), DataCentreId{"lahore"}, Chunks, Options, 7);
 }
 
-SwarmActions join(Swarm &Under, PeerNumber Number,
+SwarmActions join(Swarm &Subject, PeerNumber Number,
                   std::vector<std::uint32_t> Held,
                   const std::string &Centre = "lahore") {
-  const std::uint32_t Size = Under.here().size();
-  return Under.onPeerJoined(Number, named("peer-" + std::to_string(Number)),
-                            DataCentreId{Centre}, setOf(Size, Held),
-                            ChunkSet(Size), Start);
+  const std::uint32_t Size = Subject.here().size();
+  return Subject.onPeerJoined(Number, named("peer-" + std::to_string(Number)),
+                              DataCentreId{Centre}, setOf(Size, Held),
+                              ChunkSet(Size), Start);
 }
 
-TEST(Swarm, ServesThePeerThatMissesMost) {
+TEST(Swarm, GrantsToThePeerWithTheFewestChunks) {
   SwarmOptions One;
   One.m_Uploads = 1;
-  Swarm Under = makeSwarm(8, One);
-  join(Under, 1, {1, 2, 3});
-  join(Under, 2, {1});
-  Under.addStaged(0, Start);
-  EXPECT_THAT(Under.onTick(Start), Contains(SwarmAction(SendGrant{2})));
+  Swarm Subject = makeSwarm(8, One);
+  join(Subject, 1, {1, 2, 3});
+  join(Subject, 2, {1});
+  Subject.addStaged(0, Start);
+  EXPECT_THAT(Subject.onTick(Start), Contains(SwarmAction(SendGrant{2})));
 }
 
 TEST(Swarm, ChoosesTheRarestChunkOfTheSender) {
-  Swarm Under = makeSwarm(3);
-  join(Under, 1, {0, 1, 2});
-  join(Under, 2, {0, 1});
-  join(Under, 3, {0});
-  EXPECT_THAT(Under.onGrant(1, Start), ElementsAre(SendRequest{1, 2}));
+  Swarm Subject = makeSwarm(3);
+  join(Subject, 1, {0, 1, 2});
+  join(Subject, 2, {0, 1});
+  join(Subject, 3, {0});
+  EXPECT_THAT(Subject.onGrant(1, Start), ElementsAre(SendRequest{1, 2}));
 }
 
-TEST(Swarm, DoesNotAskForWhatIsOnItsWay) {
-  Swarm Under = makeSwarm(2);
-  join(Under, 1, {0});
-  join(Under, 2, {0});
-  EXPECT_THAT(Under.onGrant(1, Start), ElementsAre(SendRequest{1, 0}));
-  EXPECT_THAT(Under.onGrant(2, Start), ElementsAre(SendDecline{2}));
+TEST(Swarm, RequestsNoChunkThatIsInFlight) {
+  Swarm Subject = makeSwarm(2);
+  join(Subject, 1, {0});
+  join(Subject, 2, {0});
+  EXPECT_THAT(Subject.onGrant(1, Start), ElementsAre(SendRequest{1, 0}));
+  EXPECT_THAT(Subject.onGrant(2, Start), ElementsAre(SendDecline{2}));
 }
 
-TEST(Swarm, TakesFromAfarOnlyWhatNobodyNearHas) {
-  Swarm Under = makeSwarm(2);
-  join(Under, 1, {0, 1}, "multan");
-  join(Under, 2, {0});
-  EXPECT_THAT(Under.onGrant(1, Start), ElementsAre(SendRequest{1, 1}));
-  EXPECT_THAT(Under.onGrant(1, Start), ElementsAre(SendDecline{1}));
+TEST(Swarm, ImportsOnlyChunksThatNoLocalPeerHas) {
+  Swarm Subject = makeSwarm(2);
+  join(Subject, 1, {0, 1}, "multan");
+  join(Subject, 2, {0});
+  EXPECT_THAT(Subject.onGrant(1, Start), ElementsAre(SendRequest{1, 1}));
+  EXPECT_THAT(Subject.onGrant(1, Start), ElementsAre(SendDecline{1}));
 }
 
-TEST(Swarm, ReadsFromTheOriginOnlyItsOwnShare) {
+TEST(Swarm, EachChunkIsReadFromTheOriginByOneInstance) {
   SwarmOptions Options;
   Options.m_OriginReads = 64;
   Options.m_OriginWindow = 64;
   std::uint32_t Reads = 0;
   for (const char *Name : {"a", "b", "c", "d"}) {
-    Swarm Under(named(Name), DataCentreId{"lahore"}, 64, Options, 1);
-    Under.setInstances({named("a"), named("b"), named("c"), named("d")});
-    Reads += static_cast<std::uint32_t>(
-        std::ranges::count_if(Under.onTick(Start), [](const SwarmAction &Each) {
+    Swarm Subject(named(Name), DataCentreId{"lahore"}, 64, Options, 1);
+    Subject.setInstances({named("a"), named("b"), named("c"), named("d")});
+    Reads += static_cast<std::uint32_t>(std::ranges::count_if(
+        Subject.onTick(Start), [](const SwarmAction &Each) {
           return std::holds_alternative<ReadOrigin>(Each);
         }));
   }
   EXPECT_EQ(Reads, 64U);
 }
 
-TEST(Swarm, TheNextInRankReadsWhenTheFirstDoesNot) {
+TEST(Swarm, TheNextInRankReadsAfterTheOriginStep) {
   SwarmOptions Options;
   Options.m_OriginReads = 64;
   Swarm First(named("a"), DataCentreId{"lahore"}, 1, Options, 1);
@@ -102,19 +102,19 @@
   EXPECT_THAT(Later.onTick(Start + Options.m_OriginStep), Read);
 }
 
-TEST(Swarm, ACorruptChunkSetsThePeerAsideThenForLong) {
+TEST(Swarm, ACorruptChunkQuarantinesThePeer) {
   SwarmOptions Options;
-  Swarm Under = makeSwarm(4, Options);
-  join(Under, 1, {0, 1});
-  Under.onGrant(1, Start);
-  const TimePoint Until = Start + Options.m_SetAside;
-  EXPECT_THAT(Under.onArrived(1, 0, false, Start),
+  Swarm Subject = makeSwarm(4, Options);
+  join(Subject, 1, {0, 1});
+  Subject.onGrant(1, Start);
+  const TimePoint Until = Start + Options.m_Quarantine;
+  EXPECT_THAT(Subject.onArrived(1, 0, false, Start),
               Contains(SwarmAction(DropPeer{1, Until})));
-  EXPECT_TRUE(Under.setAside(named("peer-1"), Start));
-  EXPECT_FALSE(Under.setAside(named("peer-1"), Until));
-  EXPECT_TRUE(Under.wants(0));
-  join(Under, 1, {0, 1});
-  EXPECT_TRUE(Under.onGrant(1, Start).empty());
+  EXPECT_TRUE(Subject.setAside(named("peer-1"), Start));
+  EXPECT_FALSE(Subject.setAside(named("peer-1"), Until));
+  EXPECT_TRUE(Subject.wants(0));
+  join(Subject, 1, {0, 1});
+  EXPECT_TRUE(Subject.onGrant(1, Start).empty());
 }
 
 std::uint32_t readsOf(std::uint32_t Chunk, const SwarmActions &Actions) {
@@ -122,220 +122,222 @@
       std::ranges::count(Actions, SwarmAction(ReadOrigin{Chunk})));
 }
 
-TEST(Swarm, ACorruptChunkFromTheOriginRestsAlone) {
-  Swarm Under = makeSwarm(8);
-  EXPECT_EQ(readsOf(0, Under.onTick(Start)), 1U);
+TEST(Swarm, ACorruptOriginReadBacksOffOnlyThatChunk) {
+  Swarm Subject = makeSwarm(8);
+  EXPECT_EQ(readsOf(0, Subject.onTick(Start)), 1U);
   const SwarmActions Next =
-      Under.onOriginReply(0, Swarm::OriginOutcome::Corrupt, Start);
+      Subject.onOriginReply(0, Swarm::OriginOutcome::Corrupt, Start);
   EXPECT_THAT(Next, ElementsAre(ReadOrigin{2}));
 }
 
-TEST(Swarm, AChunkThatStaysCorruptRestsEverLonger) {
+TEST(Swarm, ACorruptChunkBacksOffExponentially) {
   SwarmOptions Options;
-  Options.m_CorruptRestMost = 4 * Options.m_OriginRest;
-  Swarm Under = makeSwarm(1, Options);
+  Options.m_MaxCorruptBackOff = 4 * Options.m_OriginRest;
+  Swarm Subject = makeSwarm(1, Options);
   TimePoint Now = Start;
-  EXPECT_EQ(readsOf(0, Under.onTick(Now)), 1U);
+  EXPECT_EQ(readsOf(0, Subject.onTick(Now)), 1U);
   for (int Times : {1, 2, 4, 4}) {
-    Under.onOriginReply(0, Swarm::OriginOutcome::Corrupt, Now);
+    Subject.onOriginReply(0, Swarm::OriginOutcome::Corrupt, Now);
     Now += Times * Options.m_OriginRest;
-    EXPECT_EQ(readsOf(0, Under.onTick(Now - 1ms)), 0U) << Times;
-    EXPECT_EQ(readsOf(0, Under.onTick(Now)), 1U) << Times;
+    EXPECT_EQ(readsOf(0, Subject.onTick(Now - 1ms)), 0U) << Times;
+    EXPECT_EQ(readsOf(0, Subject.onTick(Now)), 1U) << Times;
   }
 }
 
-TEST(Swarm, AnOriginThatRefusesRestsForAllChunks) {
+TEST(Swarm, ARefusingOriginBacksOffForAllChunks) {
   SwarmOptions Options;
-  Swarm Under = makeSwarm(8, Options);
-  Under.onTick(Start);
-  EXPECT_THAT(Under.onOriginReply(0, Swarm::OriginOutcome::Refused, Start),
+  Swarm Subject = makeSwarm(8, Options);
+  Subject.onTick(Start);
+  EXPECT_THAT(Subject.onOriginReply(0, Swarm::OriginOutcome::Refused, Start),
               IsEmpty());
-  const TimePoint Rested = Start + Options.m_OriginRest;
-  EXPECT_EQ(readsOf(0, Under.onTick(Rested - 1ms)), 0U);
-  EXPECT_EQ(readsOf(0, Under.onTick(Rested)), 1U);
+  const TimePoint Retry = Start + Options.m_OriginRest;
+  EXPECT_EQ(readsOf(0, Subject.onTick(Retry - 1ms)), 0U);
+  EXPECT_EQ(readsOf(0, Subject.onTick(Retry)), 1U);
 }
 
-TEST(Swarm, AStallIsToldByProgress) {
+TEST(Swarm, AStallIsTimedFromTheLastProgress) {
   SwarmOptions Options;
-  Swarm Under = makeSwarm(4, Options);
-  join(Under, 1, {0});
-  Under.onGrant(1, Start);
-  const TimePoint Half = Start + Options.m_StallAfter / 2;
-  Under.onProgress(1, 0, Half);
-  EXPECT_TRUE(Under.expects(1, 0));
-  Under.onTick(Start + Options.m_StallAfter + 1ms);
-  EXPECT_TRUE(Under.expects(1, 0));
-  Under.onTick(Half + Options.m_StallAfter + 1ms);
-  EXPECT_EQ(Under.counters().m_Stalls, 1U);
-  EXPECT_EQ(Under.peerCount(), 0U);
-  EXPECT_TRUE(Under.wants(0));
-}
-
-TEST(Swarm, ASilentPeerIsLeftThoughNothingIsExpectedOfIt) {
+  Swarm Subject = makeSwarm(4, Options);
+  join(Subject, 1, {0});
+  Subject.onGrant(1, Start);
+  const TimePoint Half = Start + Options.m_StallTimeout / 2;
+  Subject.onProgress(1, 0, Half);
+  EXPECT_TRUE(Subject.expects(1, 0));
+  Subject.onTick(Start + Options.m_StallTimeout + 1ms);
+  EXPECT_TRUE(Subject.expects(1, 0));
+  Subject.onTick(Half + Options.m_StallTimeout + 1ms);
+  EXPECT_EQ(Subject.counters().m_Stalls, 1U);
+  EXPECT_EQ(Subject.peerCount(), 0U);
+  EXPECT_TRUE(Subject.wants(0));
+}
+
+TEST(Swarm, ASilentPeerIsDroppedWithoutPendingRequests) {
   SwarmOptions Options;
-  Swarm Under = makeSwarm(4, Options);
-  join(Under, 1, {0});
-  join(Under, 2, {0});
-  const TimePoint Later = Start + Options.m_SilentAfter + 1ms;
-  Under.onHave(2, {}, {}, Start + Options.m_KeepAlive);
-  EXPECT_THAT(Under.onTick(Later),
-              Contains(SwarmAction(DropPeer{1, Later + Options.m_SetAside})));
-  EXPECT_EQ(Under.peerCount(), 1U);
+  Swarm Subject = makeSwarm(4, Options);
+  join(Subject, 1, {0});
+  join(Subject, 2, {0});
+  const TimePoint Later = Start + Options.m_SilenceTimeout + 1ms;
+  Subject.onHave(2, {}, {}, Start + Options.m_KeepAlive);
+  EXPECT_THAT(Subject.onTick(Later),
+              Contains(SwarmAction(DropPeer{1, Later + Options.m_Quarantine})));
+  EXPECT_EQ(Subject.peerCount(), 1U);
 }
 
-TEST(Swarm, AChunkThatIsOnlySaidToBeSeenIsReadAllTheSame) {
+TEST(Swarm, ASeenChunkWithoutHolderIsRead) {
   SwarmOptions Options;
-  Swarm Under = makeSwarm(4, Options);
-  Under.onPeerJoined(1, named("peer-1"), DataCentreId{"lahore"}, setOf(4, {0}),
-                     setOf(4, {0, 1, 2, 3}), Start);
+  Swarm Subject = makeSwarm(4, Options);
+  Subject.onPeerJoined(1, named("peer-1"), DataCentreId{"lahore"},
+                       setOf(4, {0}), setOf(4, {0, 1, 2, 3}), Start);
   std::uint32_t Reads = 0;
   for (Duration At{}; At <= 7 * Options.m_OriginStep; At += 100ms) {
-    Under.onHave(1, {}, {}, Start + At);
-    // Something is always gained, so that this one never starves.
-    Under.onGrant(1, Start + At);
-    Under.onProgress(1, 0, Start + At);
-    Reads += readsOf(1, Under.onTick(Start + At));
+    Subject.onHave(1, {}, {}, Start + At);
+    // Constant progress, so that the swarm never counts as starved.
+    Subject.onGrant(1, Start + At);
+    Subject.onProgress(1, 0, Start + At);
+    Reads += readsOf(1, Subject.onTick(Start + At));
   }
   EXPECT_EQ(Reads, 1U);
 }
 
-TEST(Swarm, PeersHearOfThisOneAlsoWhenNothingIsNew) {
+TEST(Swarm, SendsKeepAlivesWithoutNewChunks) {
   SwarmOptions Options;
-  Swarm Under = makeSwarm(4, Options);
-  join(Under, 1, {0});
-  const auto Told = Contains(testing::VariantWith<SendHave>(testing::_));
-  EXPECT_THAT(Under.onTick(Start), Told);
-  EXPECT_THAT(Under.onTick(Start + Options.m_KeepAlive - 1ms), Not(Told));
-  EXPECT_THAT(Under.onTick(Start + Options.m_KeepAlive), Told);
+  Swarm Subject = makeSwarm(4, Options);
+  join(Subject, 1, {0});
+  const auto Announces = Contains(testing::VariantWith<SendHave>(testing::_));
+  EXPECT_THAT(Subject.onTick(Start), Announces);
+  EXPECT_THAT(Subject.onTick(Start + Options.m_KeepAlive - 1ms),
+              Not(Announces));
+  EXPECT_THAT(Subject.onTick(Start + Options.m_KeepAlive), Announces);
 }
 
-TEST(Swarm, AHedgedChunkThatArrivesTwiceFreesItsPlace) {
+TEST(Swarm, AHedgedChunkThatArrivesTwiceFreesItsRequestSlot) {
   SwarmOptions Options;
   Options.m_Expected = 2;
-  Swarm Under = makeSwarm(2, Options);
-  join(Under, 1, {0});
-  join(Under, 2, {0, 1});
-  Under.onGrant(1, Start);
+  Swarm Subject = makeSwarm(2, Options);
+  join(Subject, 1, {0});
+  join(Subject, 2, {0, 1});
+  Subject.onGrant(1, Start);
   const TimePoint Later = Start + 1s;
-  EXPECT_THAT(Under.onGrant(2, Later), ElementsAre(SendRequest{2, 1}));
-  Under.onArrived(2, 1, true, Later);
-  Under.onStaged(1, true, Later);
-  EXPECT_THAT(Under.onGrant(2, Later), ElementsAre(SendRequest{2, 0}));
-  Under.onArrived(2, 0, true, Later);
-  Under.onStaged(0, true, Later);
-  Under.onArrived(1, 0, true, Later);
-  EXPECT_TRUE(Under.complete());
-  EXPECT_EQ(Under.counters().m_Duplicates, 1U);
-}
-
-TEST(Swarm, AnOriginThatLosesAnswersIsAskedAgainSoonAndOneThatIsAwaySeldom) {
+  EXPECT_THAT(Subject.onGrant(2, Later), ElementsAre(SendRequest{2, 1}));
+  Subject.onArrived(2, 1, true, Later);
+  Subject.onStaged(1, true, Later);
+  EXPECT_THAT(Subject.onGrant(2, Later), ElementsAre(SendRequest{2, 0}));
+  Subject.onArrived(2, 0, true, Later);
+  Subject.onStaged(0, true, Later);
+  Subject.onArrived(1, 0, true, Later);
+  EXPECT_TRUE(Subject.complete());
+  EXPECT_EQ(Subject.counters().m_Duplicates, 1U);
+}
+
+TEST(Swarm, OriginBackOffDoublesUpToTheMaximum) {
   const SwarmOptions Options;
-  Swarm Under = makeSwarm(2, Options);
+  Swarm Subject = makeSwarm(2, Options);
   TimePoint Now = Start;
-  const auto RestOf = [&](std::uint32_t Chunk) {
-    Under.onOriginReply(Chunk, Swarm::OriginOutcome::Failed, Now);
-    Duration Rest{};
-    while (Rest < Options.m_OriginRestMost * 2) {
-      Rest += 10ms;
-      for (const SwarmAction &Each : Under.onTick(Now + Rest))
+  const auto BackOffOf = [&](std::uint32_t Chunk) {
+    Subject.onOriginReply(Chunk, Swarm::OriginOutcome::Failed, Now);
+    Duration BackOff{};
+    while (BackOff < Options.m_MaxOriginBackOff * 2) {
+      BackOff += 10ms;
+      for (const SwarmAction &Each : Subject.onTick(Now + BackOff))
         if (std::holds_alternative<ReadOrigin>(Each)) {
-          Now += Rest;
-          return Rest;
+          Now += BackOff;
+          return BackOff;
         }
     }
-    return Rest;
+    return BackOff;
   };
-  Under.onTick(Now); // Reads both.
-  Under.onOriginReply(1, Swarm::OriginOutcome::Good, Now);
-  EXPECT_EQ(RestOf(0), Options.m_OriginRest);
-  EXPECT_EQ(RestOf(0), 2 * Options.m_OriginRest);
+  Subject.onTick(Now); // Reads both chunks.
+  Subject.onOriginReply(1, Swarm::OriginOutcome::Good, Now);
+  EXPECT_EQ(BackOffOf(0), Options.m_OriginRest);
+  EXPECT_EQ(BackOffOf(0), 2 * Options.m_OriginRest);
   for (int I = 0; I < 3; ++I)
-    RestOf(0);
-  EXPECT_EQ(RestOf(0), Options.m_OriginRestMost);
+    BackOffOf(0);
+  EXPECT_EQ(BackOffOf(0), Options.m_MaxOriginBackOff);
 }
 
 TEST(Swarm, ARequestThatWasNotGrantedIsRefused) {
-  Swarm Under = makeSwarm(2);
-  Under.addStaged(0, Start);
-  EXPECT_THAT(Under.onRequest(9, 0, Start), IsEmpty());
-  join(Under, 1, {0});
-  EXPECT_THAT(Under.onRequest(1, 0, Start), ElementsAre(SendRefusal{1, 0}));
-  EXPECT_THAT(Under.onRequest(1, 77, Start), ElementsAre(SendRefusal{1, 77}));
-}
-
-/// Importers of "lahore" and "multan": whoever has the highest rank.
-void setCentres(Swarm &Under) {
-  Under.setDataCentres({{DataCentreId{"lahore"}, {named("self")}},
-                        {DataCentreId{"multan"}, {named("peer-1")}},
-                        {DataCentreId{"karachi"}, {named("elsewhere")}}});
-}
-
-TEST(Swarm, OffersFarPeersOnlyWhatTheyImport) {
-  Swarm Under = makeSwarm(2);
-  setCentres(Under);
-  join(Under, 1, {}, "multan");
-  join(Under, 2, {}, "karachi");
-  Under.addStaged(0, Start);
-  const SwarmActions Offered = Under.onTick(Start);
+  Swarm Subject = makeSwarm(2);
+  Subject.addStaged(0, Start);
+  EXPECT_THAT(Subject.onRequest(9, 0, Start), IsEmpty());
+  join(Subject, 1, {0});
+  EXPECT_THAT(Subject.onRequest(1, 0, Start), ElementsAre(SendRefusal{1, 0}));
+  EXPECT_THAT(Subject.onRequest(1, 77, Start), ElementsAre(SendRefusal{1, 77}));
+}
+
+/// One instance per data centre, which is thus the importer of all its chunks.
+void setDataCentresOf(Swarm &Subject) {
+  Subject.setDataCentres({{DataCentreId{"lahore"}, {named("self")}},
+                          {DataCentreId{"multan"}, {named("peer-1")}},
+                          {DataCentreId{"karachi"}, {named("elsewhere")}}});
+}
+
+TEST(Swarm, GrantsRemotePeersOnlyWhatTheyImport) {
+  Swarm Subject = makeSwarm(2);
+  setDataCentresOf(Subject);
+  join(Subject, 1, {}, "multan");
+  join(Subject, 2, {}, "karachi");
+  Subject.addStaged(0, Start);
+  const SwarmActions Offered = Subject.onTick(Start);
   EXPECT_THAT(Offered, Contains(SwarmAction(SendGrant{1})));
   EXPECT_THAT(Offered, Not(Contains(SwarmAction(SendGrant{2}))));
-  // The importer may be gone: then the others take it.
+  // The importer may be gone, so others take the chunk after the delay.
   const Duration Wait = SwarmOptions().m_ImportWait;
-  EXPECT_THAT(Under.onTick(Start + Wait - 1ms),
+  EXPECT_THAT(Subject.onTick(Start + Wait - 1ms),
               Not(Contains(SwarmAction(SendGrant{2}))));
-  EXPECT_THAT(Under.onTick(Start + Wait), Contains(SwarmAction(SendGrant{2})));
+  EXPECT_THAT(Subject.onTick(Start + Wait),
+              Contains(SwarmAction(SendGrant{2})));
 }
 
-TEST(Swarm, OffersNoFarPeerWhatIsNearIt) {
-  Swarm Under = makeSwarm(2);
-  setCentres(Under);
-  join(Under, 1, {}, "multan");
-  join(Under, 3, {0}, "multan");
-  Under.addStaged(0, Start);
-  EXPECT_THAT(Under.onTick(Start), Not(Contains(SwarmAction(SendGrant{1}))));
+TEST(Swarm, GrantsRemotePeersNothingTheirDataCentreHolds) {
+  Swarm Subject = makeSwarm(2);
+  setDataCentresOf(Subject);
+  join(Subject, 1, {}, "multan");
+  join(Subject, 3, {0}, "multan");
+  Subject.addStaged(0, Start);
+  EXPECT_THAT(Subject.onTick(Start), Not(Contains(SwarmAction(SendGrant{1}))));
 }
 
-TEST(Swarm, LeavesFarChunksToTheImporterForAWhile) {
-  Swarm Under = makeSwarm(1);
-  Under.setDataCentres({{DataCentreId{"lahore"}, {named("another")}}});
-  join(Under, 1, {0}, "multan");
-  Under.onTick(Start); // From here on it counts as waiting for a chunk.
-  EXPECT_THAT(Under.onGrant(1, Start), ElementsAre(SendDecline{1}));
+TEST(Swarm, LeavesRemoteChunksToTheImporterDuringTheImportWait) {
+  Swarm Subject = makeSwarm(1);
+  Subject.setDataCentres({{DataCentreId{"lahore"}, {named("another")}}});
+  join(Subject, 1, {0}, "multan");
+  Subject.onTick(Start); // Starts the wait for a chunk.
+  EXPECT_THAT(Subject.onGrant(1, Start), ElementsAre(SendDecline{1}));
   const Duration Wait = SwarmOptions().m_ImportWait;
-  EXPECT_THAT(Under.onGrant(1, Start + Wait - 1ms),
+  EXPECT_THAT(Subject.onGrant(1, Start + Wait - 1ms),
               ElementsAre(SendDecline{1}));
-  EXPECT_THAT(Under.onGrant(1, Start + Wait), ElementsAre(SendRequest{1, 0}));
+  EXPECT_THAT(Subject.onGrant(1, Start + Wait), ElementsAre(SendRequest{1, 0}));
 }
 
-/// Chunks that an instance may take from far when some time has passed since
-/// they were first seen, if nobody near has them.
+/// Number of chunks that an instance may import after the given time since they
+/// were first seen, if no local peer has them.
 std::uint32_t importsAfter(const std::string &Self, Duration Waited) {
   constexpr std::uint32_t Chunks = 48;
-  Swarm Under({Self}, DataCentreId{"lahore"}, Chunks, {}, 1);
+  Swarm Subject({Self}, DataCentreId{"lahore"}, Chunks, {}, 1);
   std::vector<InstanceId> Near;
   Near.reserve(25);
   for (int I = 0; I < 25; ++I)
     Near.push_back(named("near-" + std::to_string(I)));
-  Under.setDataCentres({{DataCentreId{"lahore"}, Near},
-                        {DataCentreId{"multan"}, {named("far")}}});
+  Subject.setDataCentres({{DataCentreId{"lahore"}, Near},
+                          {DataCentreId{"multan"}, {named("far")}}});
   std::vector<std::uint32_t> All(Chunks);
   std::iota(All.begin(), All.end(), 0U);
-  join(Under, 1, All, "multan");
+  join(Subject, 1, All, "multan");
   std::uint32_t Taken = 0;
-  Under.onTick(Start);
+  Subject.onTick(Start);
   for (std::uint32_t I = 0; I < Chunks; ++I) {
-    const SwarmActions Asked = Under.onGrant(1, Start + Waited);
+    const SwarmActions Asked = Subject.onGrant(1, Start + Waited);
     if (!Asked.empty() && std::holds_alternative<SendRequest>(Asked.front())) {
       ++Taken;
       const std::uint32_t Chunk = std::get<SendRequest>(Asked.front()).m_Chunk;
-      Under.onArrived(1, Chunk, true, Start + Waited);
-      Under.onStaged(Chunk, true, Start + Waited);
+      Subject.onArrived(1, Chunk, true, Start + Waited);
+      Subject.onStaged(Chunk, true, Start + Waited);
     }
   }
   return Taken;
 }
 
-TEST(Swarm, AsksForNoMoreFarChunksAtOnceThanAFewImportersEach) {
+TEST(Swarm, OnlyAFewInstancesImportAChunkAtOnce) {
   const Duration Wait = SwarmOptions().m_ImportWait;
   std::uint32_t AtOnce = 0;
   std::uint32_t Later = 0;
@@ -348,33 +350,33 @@
   }
   EXPECT_EQ(AtOnce, 48U);
   EXPECT_EQ(Later, 2 * 48U);
-  EXPECT_EQ(AtLast, 25 * 48U); // Everyone: the importers may all be gone.
+  EXPECT_EQ(AtLast, 25 * 48U); // All instances: the importers may be gone.
 }
 
-TEST(Swarm, NamesTheReadersOfWhatItImports) {
-  Swarm Under({"near"}, DataCentreId{"lahore"}, 48, {}, 1);
-  Under.setDataCentres(
+TEST(Swarm, ImportSourcesAreTheRemoteOriginReaders) {
+  Swarm Subject({"near"}, DataCentreId{"lahore"}, 48, {}, 1);
+  Subject.setDataCentres(
       {{DataCentreId{"lahore"}, {named("near")}},
        {DataCentreId{"multan"}, {named("far-1"), named("far-2")}},
        {DataCentreId{"karachi"}, {named("far-3")}}});
-  const std::set<InstanceId> Sources = Under.importSources();
+  const std::set<InstanceId> Sources = Subject.importSources();
   EXPECT_THAT(Sources, testing::IsSubsetOf(std::vector<InstanceId>{
                            named("far-1"), named("far-2"), named("far-3")}));
   EXPECT_FALSE(Sources.empty());
 }
 
-TEST(Swarm, ReadsAgainWhatOnePeerAloneHasForLong) {
+TEST(Swarm, ReadsAChunkWithASoleHolderAgain) {
   SwarmOptions Options;
   Options.m_SoleHolderWait = 700ms;
   for (const bool HasTwoHolders : {false, true}) {
-    Swarm Under = makeSwarm(1, Options);
-    join(Under, 1, {0});
+    Swarm Subject = makeSwarm(1, Options);
+    join(Subject, 1, {0});
     if (HasTwoHolders)
-      join(Under, 2, {0});
-    ASSERT_THAT(Under.onGrant(1, Start), ElementsAre(SendRequest{1, 0}));
-    EXPECT_THAT(Under.onTick(Start + 600ms),
+      join(Subject, 2, {0});
+    ASSERT_THAT(Subject.onGrant(1, Start), ElementsAre(SendRequest{1, 0}));
+    EXPECT_THAT(Subject.onTick(Start + 600ms),
                 Not(Contains(SwarmAction(ReadOrigin{0}))));
-    const SwarmActions Late = Under.onTick(Start + 800ms);
+    const SwarmActions Late = Subject.onTick(Start + 800ms);
     if (HasTwoHolders)
       EXPECT_THAT(Late, Not(Contains(SwarmAction(ReadOrigin{0}))));
     else
@@ -382,106 +384,105 @@
   }
 }
 
-TEST(Swarm, AsksForFewerChunksAtOnceOverANarrowLink) {
+TEST(Swarm, RequestsFewerChunksOverASlowLink) {
   SwarmOptions Options;
   Options.m_Expected = 4;
   Options.m_ChunkPatience = 600ms;
-  Swarm Under = makeSwarm(12, Options);
+  Swarm Subject = makeSwarm(12, Options);
   const std::vector<std::uint32_t> All{0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11};
   for (PeerNumber Number = 1; Number <= 6; ++Number)
-    join(Under, Number, All);
+    join(Subject, Number, All);
   const auto Ask = [&](PeerNumber Number, TimePoint Now) {
-    const SwarmActions Out = Under.onGrant(Number, Now);
+    const SwarmActions Out = Subject.onGrant(Number, Now);
     const auto *Request = std::get_if<SendRequest>(&Out.front());
     return Request ? std::optional(Request->m_Chunk) : std::nullopt;
   };
-  // Nothing is known of the link yet.
+  // The link's speed is still unknown.
   const auto First = Ask(1, Start);
   const auto Second = Ask(2, Start);
   ASSERT_TRUE(First && Second);
   EXPECT_FALSE(Ask(3, Start));
-  EXPECT_EQ(Under.linkVerdict(), LinkVerdict::Unknown);
-  // A chunk that comes fast makes room for one more than it leaves.
-  Under.onArrived(1, *First, true, Start + 100ms);
+  EXPECT_EQ(Subject.linkVerdict(), LinkVerdict::Unknown);
+  // A fast chunk raises the limit by one, beside the slot that it frees.
+  Subject.onArrived(1, *First, true, Start + 100ms);
   ASSERT_TRUE(Ask(3, Start + 100ms));
   ASSERT_TRUE(Ask(4, Start + 100ms));
   EXPECT_FALSE(Ask(5, Start + 100ms));
-  EXPECT_EQ(Under.linkVerdict(), LinkVerdict::Sound);
-  // It took four times the patience: one at a time from now on, and two of
-  // those asked for before are still to come.
-  Under.onArrived(2, *Second, true, Start + 2'400ms);
+  EXPECT_EQ(Subject.linkVerdict(), LinkVerdict::Sound);
+  // Four times the target time reduces the limit to one, and two chunks are
+  // still in flight.
+  Subject.onArrived(2, *Second, true, Start + 2'400ms);
   EXPECT_FALSE(Ask(5, Start + 2'400ms));
-  EXPECT_EQ(Under.linkVerdict(), LinkVerdict::Narrow);
-}
-
-// A process that starts again takes in what its instance has staged, one chunk
-// after the other. Peers that had called meanwhile were never told of these
-// chunks, held it for empty as long as the connection lasted, and declined all
-// that it offered.
-TEST(Swarm, TellsPeersThatCameEarlyOfWhatItFindsStaged) {
-  Swarm Under = makeSwarm(4);
-  EXPECT_THAT(Under.addStaged(0, Start), IsEmpty());
-  join(Under, 1, {});
-  EXPECT_THAT(Under.addStaged(1, Start),
+  EXPECT_EQ(Subject.linkVerdict(), LinkVerdict::Slow);
+}
+
+// A restarted agent adds its staged chunks one by one. Peers that connected
+// meanwhile were never told of them, took the agent for empty and declined all
+// of its grants until the connection closed.
+TEST(Swarm, AnnouncesStagedChunksToPeersThatConnectedEarly) {
+  Swarm Subject = makeSwarm(4);
+  EXPECT_THAT(Subject.addStaged(0, Start), IsEmpty());
+  join(Subject, 1, {});
+  EXPECT_THAT(Subject.addStaged(1, Start),
               Contains(SwarmAction(SendHave{{1}, {0, 1}})));
-  // Found twice, it is told once.
-  EXPECT_THAT(Under.addStaged(1, Start), IsEmpty());
+  // A chunk added twice is announced once.
+  EXPECT_THAT(Subject.addStaged(1, Start), IsEmpty());
 }
 
-/// Ticks for so long, while all peers stay alive and offer nothing; gives the
-/// origin's chunks to the swarm as they are asked for.
-std::vector<std::uint32_t> readsWithSilentHolders(Swarm &Under,
-                                                  Duration Length) {
+/// Ticks for the given time while all peers stay alive and grant nothing; the
+/// origin answers every read. Returns the chunks read.
+std::vector<std::uint32_t> readsWithIdleHolders(Swarm &Subject,
+                                                Duration Length) {
   std::vector<std::uint32_t> Out;
   for (Duration At{}; At <= Length; At += 100ms) {
     const TimePoint Now = Start + At;
     for (PeerNumber Each : {1, 2, 3})
-      Under.onHave(Each, {}, {}, Now);
-    for (const SwarmAction &Each : Under.onTick(Now)) {
+      Subject.onHave(Each, {}, {}, Now);
+    for (const SwarmAction &Each : Subject.onTick(Now)) {
       const auto *Read = std::get_if<ReadOrigin>(&Each);
       if (!Read)
         continue;
       Out.push_back(Read->m_Chunk);
-      Under.onOriginReply(Read->m_Chunk, Swarm::OriginOutcome::Good, Now);
-      Under.onStaged(Read->m_Chunk, true, Now);
+      Subject.onOriginReply(Read->m_Chunk, Swarm::OriginOutcome::Good, Now);
+      Subject.onStaged(Read->m_Chunk, true, Now);
     }
   }
   return Out;
 }
 
-// An agent held 10 of 12 chunks for more than 60 s, with four
-// peers connected that all had 12. Far peers offered nothing, because a near
-// one had the two; the near one's offers were declined, because it was not
-// known to have them; and the origin was not read, because they were known to
-// be with more than one peer. No clock ended that.
-TEST(Swarm, ReadsFromTheOriginWhatPeersHoldAndDoNotGive) {
-  Swarm Under = makeSwarm(4);
-  Under.setInstances({named("self"), named("peer-1"), named("peer-2")});
-  join(Under, 1, {0, 1}, "multan");
-  join(Under, 2, {0, 1}, "multan");
-  join(Under, 3, {2, 3});
+// An agent was stuck at 10 of 12 chunks for more than 60 s beside four peers
+// that had all 12. Remote peers granted nothing, because a local one had the
+// missing chunks; the grants of the local one were declined, because it was not
+// known to have them; and the origin was not read, because more than one peer
+// held them. No timeout ended that state.
+TEST(Swarm, ReadsChunksWhoseHoldersSendNothing) {
+  Swarm Subject = makeSwarm(4);
+  Subject.setInstances({named("self"), named("peer-1"), named("peer-2")});
+  join(Subject, 1, {0, 1}, "multan");
+  join(Subject, 2, {0, 1}, "multan");
+  join(Subject, 3, {2, 3});
   for (std::uint32_t Chunk : {2, 3})
-    Under.addStaged(Chunk, Start);
-  EXPECT_THAT(readsWithSilentHolders(Under, 20s),
+    Subject.addStaged(Chunk, Start);
+  EXPECT_THAT(readsWithIdleHolders(Subject, 20s),
               testing::UnorderedElementsAre(0, 1));
-  EXPECT_TRUE(Under.complete());
+  EXPECT_TRUE(Subject.complete());
 }
 
-// The origin's bytes are few: peers that give are waited for, as long as it
-// takes them.
-TEST(Swarm, ReadsNothingThatPeersHoldWhileOneOfThemGives) {
-  Swarm Under = makeSwarm(4);
-  join(Under, 1, {0, 1, 2, 3});
-  join(Under, 2, {0, 1, 2, 3});
-  EXPECT_EQ(Under.onGrant(1, Start).size(), 1U);
+// Origin bandwidth is scarce: while a peer makes progress, the copy waits for
+// it however long that takes.
+TEST(Swarm, ReadsNothingWhileAHolderMakesProgress) {
+  Swarm Subject = makeSwarm(4);
+  join(Subject, 1, {0, 1, 2, 3});
+  join(Subject, 2, {0, 1, 2, 3});
+  EXPECT_EQ(Subject.onGrant(1, Start).size(), 1U);
   const auto IsRead = [](const SwarmAction &Each) {
     return std::holds_alternative<ReadOrigin>(Each);
   };
   for (Duration At{}; At <= 60s; At += 100ms) {
-    Under.onHave(2, {}, {}, Start + At);
+    Subject.onHave(2, {}, {}, Start + At);
     for (std::uint32_t Chunk = 0; Chunk < 4; ++Chunk)
-      Under.onProgress(1, Chunk, Start + At);
-    EXPECT_TRUE(std::ranges::none_of(Under.onTick(Start + At), IsRead));
+      Subject.onProgress(1, Chunk, Start + At);
+    EXPECT_TRUE(std::ranges::none_of(Subject.onTick(Start + At), IsRead));
   }
 }
 
