--- a/include/deckpitch/claims.h
+++ b/include/deckpitch/claims.h
@@ -92,7 +92,7 @@
 using ClaimWaiterId = std::uint64_t;
 
 /// The outcome of an attempt to claim a key.
-struct ClaimSettled {
+struct ClaimOutcome {
   enum class Verdict {
     Granted, ///< only this waiter may send the run
     Taken,   ///< m_Claim was first in the log
@@ -102,7 +102,7 @@
   Verdict m_Verdict = Verdict::Refused;
   Claim m_Claim;
 
-  friend bool operator==(const ClaimSettled &, const ClaimSettled &) = default;
+  friend bool operator==(const ClaimOutcome &, const ClaimOutcome &) = default;
 };
 
 /// Actions that the owner of the log performs one at a time, reporting each
@@ -136,7 +136,7 @@
 ///
 ///   Log.submit(7, Wanted, Deadline, Now);
 ///   perform(Log.next(Now)), then call listed/read/appended/conflicted/failed
-///   for (const ClaimSettled &Each : Log.takeSettled()) ...
+///   for (const ClaimOutcome &Each : Log.takeOutcomes()) ...
 class ClaimLog {
 public:
   /// Batches are named "<Owner>-<counter>", so Owner must be unique for each
@@ -162,11 +162,11 @@
   /// The operation failed. MayHaveTakenEffect: its response was lost.
   void failed(bool MayHaveTakenEffect, TimePoint Now);
 
-  std::vector<ClaimSettled> takeSettled();
+  std::vector<ClaimOutcome> takeOutcomes();
   /// Sets whether this entry deletes old objects. One entry is enough, but
   /// several may.
   void setDeletes(bool Deletes) { m_Deletes = Deletes; }
-  void setLeastInterval(Duration Value) { m_Settings.m_MinInterval = Value; }
+  void setMinInterval(Duration Value) { m_Settings.m_MinInterval = Value; }
 
   std::size_t waiting() const { return m_Queue.size() + m_InFlight.size(); }
   std::size_t known() const { return m_Known.size(); }
@@ -197,7 +197,7 @@
 
   void record(const LoggedBatch &Seen, TimePoint Now);
   void advance();
-  void settle(const Waiter &Of, ClaimSettled::Verdict Verdict);
+  void settle(const Waiter &Of, ClaimOutcome::Verdict Verdict);
   void refuse(std::deque<Waiter> &All);
   void requeueInFlight();
   /// Settles the waiters whose key is taken.
@@ -238,7 +238,7 @@
   std::uint64_t m_Deleting = 0;
   TimePoint m_BackOffUntil;
   Duration m_BackOff{};
-  std::vector<ClaimSettled> m_Settled;
+  std::vector<ClaimOutcome> m_Settled;
 };
 
 } // namespace deckpitch
--- a/include/deckpitch/engine-model.h
+++ b/include/deckpitch/engine-model.h
@@ -15,7 +15,8 @@
 /// the newest one is still in time, and how often a slot becomes free.
 struct EngineCapacity {
   double m_Limit = 1;
-  Duration m_BetweenEnds{}; ///< mean interval of completions at a full engine
+  Duration
+      m_CompletionInterval{}; ///< mean interval of completions at a full engine
 
   friend bool operator==(const EngineCapacity &,
                          const EngineCapacity &) = default;
@@ -42,6 +43,6 @@
                          Duration FirstWithin, double Reserve);
 
 /// Time until a request starts that arrives at an engine with Held requests.
-Duration waitUntilBegin(const EngineProfile &Profile, double Held);
+Duration expectedStartDelay(const EngineProfile &Profile, double Held);
 
 } // namespace deckpitch
--- a/include/deckpitch/fleet.h
+++ b/include/deckpitch/fleet.h
@@ -33,9 +33,9 @@
   std::string m_PathPrefix; ///< starts and ends with a slash
   RouteKind m_Kind = RouteKind::NonIdempotent;
   std::chrono::milliseconds m_Timeout{30'000};
-  std::chrono::milliseconds m_Objective{1'000};  ///< to the first byte
-  std::chrono::milliseconds m_LongestPause{300}; ///< between events
-  std::optional<std::uint32_t> m_Priority;       ///< 0 is the most urgent
+  std::chrono::milliseconds m_Objective{1'000}; ///< to the first byte
+  std::chrono::milliseconds m_MaxPause{300};    ///< between events
+  std::optional<std::uint32_t> m_Priority;      ///< 0 is the most urgent
   std::uint32_t m_Attempts = 1; ///< maximum instances tried per request
   bool m_IsOpen = false;        ///< accepts requests without an API key
   bool m_IsResumable = false;   ///< streams may continue on another instance
@@ -48,9 +48,9 @@
 struct EngineProfile {
   std::uint32_t m_Slots = 1;       ///< requests that generate in parallel
   double m_StepMs = 10;            ///< for one token of each generating request
-  double m_StepMsPerWriter = 0;    ///< added per generating request
+  double m_StepMsPerRequest = 0;   ///< added per generating request
   double m_StepMsPerKiloToken = 0; ///< added per 1,000 tokens of context
-  double m_ReadTokensPerMs = 30;   ///< prefill speed in prompt tokens
+  double m_PrefillTokensPerMs = 30; ///< prefill speed in prompt tokens
   std::uint32_t m_StepsPerPass = 1;
   double m_UsualPromptTokens = 1'000;
   double m_UsualAnswerTokens = 100;
--- a/include/deckpitch/holders.h
+++ b/include/deckpitch/holders.h
@@ -54,14 +54,14 @@
   bool empty() const { return m_ByLink.empty(); }
 
   /// Removes holders without a newer revision than Has, which this process has.
-  void forgetUpTo(Revision Has) {
+  void removeUpTo(Revision Has) {
     std::erase_if(m_ByLink, [&](const auto &Each) {
       return Each.second.m_Holder.m_Has <= Has;
     });
   }
   /// Removes holders that announced their revision before Asked: the store was
   /// queried then and held nothing newer, so these revisions do not exist.
-  void forgetToldBefore(TimePoint Asked) {
+  void removeAnnouncedBefore(TimePoint Asked) {
     std::erase_if(m_ByLink, [&](const auto &Each) {
       return Each.second.m_Holder.m_AnnouncedAt < Asked;
     });
--- a/include/deckpitch/instance-table.h
+++ b/include/deckpitch/instance-table.h
@@ -24,7 +24,7 @@
   std::uint32_t m_Running = 0;
   std::uint32_t m_Waiting = 0;
   bool m_TakesRequests = true; ///< false while it replaces its weights
-  bool m_HasSoundLink = false; ///< see versionSpare()
+  bool m_HasSoundLink = false; ///< see versionMargin()
   std::vector<HeldWeights> m_Weights;
   /// Time until it will load other weights, if these are ready.
   std::optional<Duration> m_SwapIn;
--- a/include/deckpitch/lease.h
+++ b/include/deckpitch/lease.h
@@ -71,11 +71,11 @@
   void onRead(TimePoint Now, Revision At,
               const std::optional<LeaseRecord> &Record);
   /// The read failed.
-  void onUnread(TimePoint Now);
+  void onReadFailed(TimePoint Now);
   /// The platform confirmed the write that next() requested at Asked.
   void onWritten(TimePoint Asked, Revision At);
   /// The write failed or its response was lost; the object is read again.
-  void onUnwritten(TimePoint Now);
+  void onWriteFailed(TimePoint Now);
 
   bool held(TimePoint Now) const { return m_Holds && Now < m_Until; }
   TimePoint heldUntil() const { return m_Holds ? m_Until : TimePoint(); }
--- a/include/deckpitch/place-ledger.h
+++ b/include/deckpitch/place-ledger.h
@@ -16,11 +16,11 @@
 /// token.
 struct PlaceQuery {
   std::uint32_t m_Slots = 1;
-  double m_Reserve = 0;     ///< slots to be left free for others
-  Duration m_BetweenEnds{}; ///< between two freed slots of a full engine
-  Duration m_ReadTime{};    ///< time to prefill the prompt
-  Duration m_WriteTime{};   ///< time of a pass without prefill
-  Duration m_FirstWithin{}; ///< latest first token, from now on
+  double m_Reserve = 0;            ///< slots to be left free for others
+  Duration m_CompletionInterval{}; ///< between two freed slots of a full engine
+  Duration m_ReadTime{};           ///< time to prefill the prompt
+  Duration m_WriteTime{};          ///< time of a pass without prefill
+  Duration m_FirstWithin{};        ///< latest first token, from now on
 
   friend bool operator==(const PlaceQuery &, const PlaceQuery &) = default;
 };
--- a/include/deckpitch/swarm.h
+++ b/include/deckpitch/swarm.h
@@ -36,7 +36,7 @@
   /// Limit of redundant origin reads, in copies, of a pool that prefers time.
   double m_ExtraCopies = 3.0;
   Duration m_GrantLifetime = std::chrono::seconds(2);
-  Duration m_DeclineRest = std::chrono::milliseconds(100);
+  Duration m_DeclineBackOff = std::chrono::milliseconds(100);
   Duration m_StallTimeout = std::chrono::seconds(2); ///< without a byte
   /// Interval at which peers receive an announcement, if only an empty one.
   Duration m_KeepAlive = std::chrono::seconds(1);
@@ -49,7 +49,7 @@
   /// Back-off after a failed read. It doubles with each consecutive failure up
   /// to the maximum, so that an origin that loses single answers is retried
   /// soon and one that is down seldom.
-  Duration m_OriginRest = std::chrono::milliseconds(100);
+  Duration m_OriginBackOff = std::chrono::milliseconds(100);
   Duration m_MaxOriginBackOff = std::chrono::seconds(1);
   /// A chunk that only one peer has held for this long is read from the origin
   /// again, by one instance after the other: all would otherwise wait for the
@@ -58,7 +58,7 @@
   /// A chunk that takes longer from request to arrival has queued on a slow
   /// link and delayed inference requests to the instance; fewer chunks are then
   /// requested in parallel. Zero: the limit is fixed.
-  Duration m_ChunkPatience{};
+  Duration m_TargetChunkTime{};
   /// Maximum back-off of a single chunk that the origin keeps returning
   /// corrupt.
   Duration m_MaxCorruptBackOff = std::chrono::minutes(1);
@@ -86,7 +86,7 @@
 OriginPacing originPacing(double Mbps, std::uint32_t ChunkBytes);
 
 /// Whether chunks queue on the link to an instance, and requests behind them.
-enum class LinkVerdict {
+enum class LinkQuality {
   Unknown, ///< too few chunks have arrived
   Sound,
   Slow ///< so slow that fewer chunks are requested
@@ -170,17 +170,17 @@
 /// What a copy that makes no progress waits for, for the log.
 struct CopyWait {
   std::uint32_t m_Missing = 0;
-  std::uint32_t m_Chunk = 0;       ///< the first missing one
-  std::uint32_t m_Near = 0;        ///< peers in the same data centre
-  std::uint32_t m_Far = 0;         ///< peers in other data centres
-  std::uint32_t m_NearHolders = 0; ///< peers known to hold m_Chunk
-  std::uint32_t m_FarHolders = 0;
-  std::uint32_t m_Asked = 0;   ///< chunks requested from peers
-  Duration m_AskedFor{};       ///< age of the oldest of these requests
-  InstanceId m_AskedOf;        ///< the peer it was sent to
-  std::uint32_t m_Reading = 0; ///< chunks being read from the origin
-  Duration m_OriginRest{};     ///< until the origin is read again
-  Duration m_SinceGain{};      ///< since the last chunk from any source
+  std::uint32_t m_Chunk = 0;        ///< the first missing one
+  std::uint32_t m_LocalPeers = 0;   ///< peers in the same data centre
+  std::uint32_t m_RemotePeers = 0;  ///< peers in other data centres
+  std::uint32_t m_LocalHolders = 0; ///< peers known to hold m_Chunk
+  std::uint32_t m_RemoteHolders = 0;
+  std::uint32_t m_Asked = 0;      ///< chunks requested from peers
+  Duration m_OldestRequestAge{};  ///< age of the oldest of these requests
+  InstanceId m_OldestRequestPeer; ///< the peer it was sent to
+  std::uint32_t m_Reading = 0;    ///< chunks being read from the origin
+  Duration m_OriginBackOff{};     ///< until the origin is read again
+  Duration m_SinceLastChunk{};    ///< since the last chunk from any source
 
   friend bool operator==(const CopyWait &, const CopyWait &) = default;
 };
@@ -251,9 +251,9 @@
   const ChunkSet &seen() const { return m_Seen; }
   const SwarmCounters &counters() const { return m_Counters; }
   /// The state of the instance's link, judged by this copy's chunk times.
-  LinkVerdict linkVerdict() const;
+  LinkQuality linkQuality() const;
   std::size_t peerCount() const { return m_Peers.size(); }
-  bool setAside(const InstanceId &Id, TimePoint Now) const;
+  bool isQuarantined(const InstanceId &Id, TimePoint Now) const;
   /// Must not be called once the copy is complete.
   CopyWait waitsFor(TimePoint Now) const;
 
--- a/include/deckpitch/weights-plan.h
+++ b/include/deckpitch/weights-plan.h
@@ -20,7 +20,7 @@
 /// the instance it covers the transfer and requests that others have just sent.
 /// On a link of 1.2 Mbit/s that receives chunks as well, requests started up
 /// to 3.2 s after they were sent.
-constexpr Duration versionSpare(bool HasSoundLink) {
+constexpr Duration versionMargin(bool HasSoundLink) {
   return std::chrono::milliseconds(HasSoundLink ? 600 : 3'600);
 }
 
@@ -38,7 +38,7 @@
   Duration m_Bound = std::chrono::seconds(8);
   /// Instances with older weights receive no requests this long before the
   /// bound.
-  Duration m_Spare{};
+  Duration m_Margin{};
 
   friend bool operator==(const WeightsState &, const WeightsState &) = default;
 };
@@ -53,9 +53,9 @@
 
 /// Progress of a copy that is superseded by a newer version.
 struct CopyProgress {
-  std::uint32_t m_Held = 0; ///< chunks present
-  std::uint32_t m_All = 0;  ///< chunks of the version
-  Duration m_SinceGain{};   ///< since the last chunk arrived
+  std::uint32_t m_Held = 0;    ///< chunks present
+  std::uint32_t m_All = 0;     ///< chunks of the version
+  Duration m_SinceLastChunk{}; ///< since the last chunk arrived
 
   friend bool operator==(const CopyProgress &, const CopyProgress &) = default;
 };
--- a/src/daemon/claim-service.cc
+++ b/src/daemon/claim-service.cc
@@ -59,19 +59,19 @@
   m_MaintainTimer.cancel();
 }
 
-asio::awaitable<ClaimSettled> ClaimService::claim(Claim Wanted,
+asio::awaitable<ClaimOutcome> ClaimService::claim(Claim Wanted,
                                                   TimePoint GiveUpAt) {
   co_return co_await asio::co_spawn(m_Process.m_Threads.control(),
                                     claimHere(std::move(Wanted), GiveUpAt),
                                     asio::use_awaitable);
 }
 
-asio::awaitable<ClaimSettled> ClaimService::claimHere(Claim Wanted,
+asio::awaitable<ClaimOutcome> ClaimService::claimHere(Claim Wanted,
                                                       TimePoint GiveUpAt) {
   Shard &Of = *m_Shards[shardOf(Wanted.m_Key, Shards)];
   const ClaimWaiterId Id = m_NextWaiter++;
   auto Self = std::make_shared<Waiter>(m_Process.m_Threads.control());
-  Self->m_Settled = {Id, ClaimSettled::Verdict::Refused, Wanted};
+  Self->m_Settled = {Id, ClaimOutcome::Verdict::Refused, Wanted};
   Self->m_Timer.expires_after(GiveUpAt - now());
   m_Waiters.emplace(Id, Self);
   Of.m_Log.submit(Id, std::move(Wanted), GiveUpAt, now());
@@ -80,7 +80,7 @@
   if (m_Waiters.contains(Id))
     co_await Self->m_Timer.async_wait(UseAwaitable);
   m_Waiters.erase(Id);
-  if (Self->m_Settled.m_Verdict == ClaimSettled::Verdict::Refused)
+  if (Self->m_Settled.m_Verdict == ClaimOutcome::Verdict::Refused)
     ++m_Refused;
   co_return Self->m_Settled;
 }
@@ -101,7 +101,7 @@
 /// Hands out what the log has settled. One whose waiter has given up is
 /// dropped, so nothing runs under it.
 void ClaimService::deliver(Shard &Of) {
-  for (ClaimSettled &Each : Of.m_Log.takeSettled()) {
+  for (ClaimOutcome &Each : Of.m_Log.takeOutcomes()) {
     const auto Found = m_Waiters.find(Each.m_Waiter);
     if (Found == m_Waiters.end())
       continue;
@@ -257,8 +257,8 @@
     }
     for (auto &Each : m_Shards) {
       Each->m_Log.setDeletes(First);
-      Each->m_Log.setLeastInterval(std::chrono::seconds(Shards * Entries) /
-                                   AppendBudget);
+      Each->m_Log.setMinInterval(std::chrono::seconds(Shards * Entries) /
+                                 AppendBudget);
       Each->m_Wake.cancel();
     }
     m_MaintainTimer.expires_after(MaintainPeriod);
--- a/src/daemon/claim-service.h
+++ b/src/daemon/claim-service.h
@@ -21,7 +21,7 @@
   void stop();
   /// Claims a run, or tells who has. Refused at once when the platform cannot
   /// be asked, and at GiveUpAt at the latest.
-  boost::asio::awaitable<ClaimSettled> claim(Claim Wanted, TimePoint GiveUpAt);
+  boost::asio::awaitable<ClaimOutcome> claim(Claim Wanted, TimePoint GiveUpAt);
   /// The claim that stands for a key, as far as this entry knows.
   boost::asio::awaitable<std::optional<Claim>> find(std::string Key);
   boost::json::object dump() const;
@@ -37,10 +37,10 @@
   struct Waiter {
     explicit Waiter(boost::asio::io_context &Loop) : m_Timer(Loop) {}
     boost::asio::steady_timer m_Timer;
-    ClaimSettled m_Settled;
+    ClaimOutcome m_Settled;
   };
 
-  boost::asio::awaitable<ClaimSettled> claimHere(Claim Wanted,
+  boost::asio::awaitable<ClaimOutcome> claimHere(Claim Wanted,
                                                  TimePoint GiveUpAt);
   boost::asio::awaitable<std::optional<Claim>> findHere(std::string Key);
   boost::asio::awaitable<void> pump(Shard &Of);
--- a/src/daemon/entry-keyed.cc
+++ b/src/daemon/entry-keyed.cc
@@ -119,11 +119,11 @@
   Wanted.m_Attempt = m_Attempt;
   const TimePoint GiveUpAt =
       std::min<TimePoint>(m_Call.m_Deadline, now() + ClaimLimit);
-  const ClaimSettled Settled =
+  const ClaimOutcome Settled =
       co_await m_Context.m_Claims.claim(Wanted, GiveUpAt);
-  if (Settled.m_Verdict == ClaimSettled::Verdict::Refused)
+  if (Settled.m_Verdict == ClaimOutcome::Verdict::Refused)
     co_return resultOf(RequestOutcome::NotRun, "the key cannot be claimed now");
-  if (Settled.m_Verdict == ClaimSettled::Verdict::Taken)
+  if (Settled.m_Verdict == ClaimOutcome::Verdict::Taken)
     co_return co_await consult(Settled.m_Claim);
   co_return co_await send(To, Wanted);
 }
--- a/src/daemon/lease-keeper.cc
+++ b/src/daemon/lease-keeper.cc
@@ -98,14 +98,14 @@
     co_return;
   }
   if (!Got) {
-    m_Lease.onUnread(now());
+    m_Lease.onReadFailed(now());
     co_return;
   }
   const auto Parsed = outcomeOf([&] { return parseLease(Got->m_Json); });
   if (Parsed)
     m_Lease.onRead(now(), Got->m_Revision, *Parsed);
   else
-    m_Lease.onUnread(now());
+    m_Lease.onReadFailed(now());
 }
 
 asio::awaitable<void> LeaseKeeper::write(Lease::Step Step) {
@@ -121,7 +121,7 @@
   if (Wrote)
     m_Lease.onWritten(Step.m_At, *Wrote);
   else
-    m_Lease.onUnwritten(now());
+    m_Lease.onWriteFailed(now());
 }
 
 boost::json::object LeaseKeeper::dump() const {
--- a/src/daemon/weights-copy.cc
+++ b/src/daemon/weights-copy.cc
@@ -178,7 +178,7 @@
       return;
     const bool Usable = Each.m_Id != m_Context.m_Settings.m_Instance &&
                         !linked(Each.m_Id) && !m_Connecting.contains(Each.m_Id);
-    if (!Usable || m_Swarm.setAside(Each.m_Id, Now) ||
+    if (!Usable || m_Swarm.isQuarantined(Each.m_Id, Now) ||
         Now < m_RetryAt[Each.m_Id])
       continue;
     m_Connecting.insert(Each.m_Id);
--- a/src/direct/fleet-instances.cc
+++ b/src/direct/fleet-instances.cc
@@ -101,7 +101,7 @@
     return false;
   // A list announced before this read that the store does not hold does not
   // exist.
-  m_InstanceHolders.forgetToldBefore(AsOf);
+  m_InstanceHolders.removeAnnouncedBefore(AsOf);
   adoptInstances(parseInstances(*List), List->m_Revision, Times);
   return true;
 }
@@ -130,7 +130,7 @@
 
 void FleetFollower::noteInstancesAsOf(Revision At, const ListTimes &AsOf) {
   m_ReadRevision = At;
-  m_InstanceHolders.forgetUpTo(At);
+  m_InstanceHolders.removeUpTo(At);
   const bool IsBehind = !m_InstanceHolders.empty();
   if (IsBehind)
     return;
--- a/src/direct/place-client.cc
+++ b/src/direct/place-client.cc
@@ -32,7 +32,7 @@
 void write(const PlaceQuery &From, wire::PlaceQuery &To) {
   To.set_slots(From.m_Slots);
   To.set_reserve(From.m_Reserve);
-  To.set_between_ends_us(microsOf(From.m_BetweenEnds));
+  To.set_between_ends_us(microsOf(From.m_CompletionInterval));
   To.set_read_us(microsOf(From.m_ReadTime));
   To.set_write_us(microsOf(From.m_WriteTime));
   To.set_first_within_us(microsOf(From.m_FirstWithin));
--- a/src/direct/weights-supply.cc
+++ b/src/direct/weights-supply.cc
@@ -69,10 +69,10 @@
   Out.m_OriginStep = Pacing.m_Step;
   Out.m_OriginPace = Pacing.m_Chunk;
   Out.m_SoleHolderWait = SoleHolderWait;
-  Out.m_ChunkPatience = TargetChunkTime;
+  Out.m_TargetChunkTime = TargetChunkTime;
   Out.m_Uploads = MaxUploads;
   Out.m_Expected = MaxExpected;
-  Out.m_DeclineRest = DeclineBackOff;
+  Out.m_DeclineBackOff = DeclineBackOff;
   return Out;
 }
 
@@ -197,9 +197,9 @@
 /// Keeps the verdict of an earlier copy: a new copy gives none until its first
 /// chunks have arrived.
 void WeightsSupply::observeLink(const Swarm &Of) {
-  const LinkVerdict Verdict = Of.linkVerdict();
-  if (Verdict != LinkVerdict::Unknown)
-    m_HasSoundLink = Verdict == LinkVerdict::Sound;
+  const LinkQuality Verdict = Of.linkQuality();
+  if (Verdict != LinkQuality::Unknown)
+    m_HasSoundLink = Verdict == LinkQuality::Sound;
 }
 
 void WeightsSupply::updateCopyPeers() {
@@ -261,7 +261,7 @@
   Out.m_DeclaredAt = m_Declared.behindSince(Held).value_or(now());
   Out.m_CopiedAt = Of.m_CompleteAt.value_or(now());
   Out.m_Bound = m_Options.m_Bound;
-  Out.m_Spare = versionSpare(hasSoundLink());
+  Out.m_Margin = versionMargin(hasSoundLink());
   return Out;
 }
 
@@ -277,16 +277,16 @@
            {{"weights", Of.m_Copy->manifest().m_Weights.m_Text},
             {"missing", std::uint64_t{Wait.m_Missing}},
             {"chunk", std::uint64_t{Wait.m_Chunk}},
-            {"sinceGainMs", msOf(Wait.m_SinceGain)},
-            {"near", std::uint64_t{Wait.m_Near}},
-            {"nearHolders", std::uint64_t{Wait.m_NearHolders}},
-            {"far", std::uint64_t{Wait.m_Far}},
-            {"farHolders", std::uint64_t{Wait.m_FarHolders}},
+            {"sinceGainMs", msOf(Wait.m_SinceLastChunk)},
+            {"near", std::uint64_t{Wait.m_LocalPeers}},
+            {"nearHolders", std::uint64_t{Wait.m_LocalHolders}},
+            {"far", std::uint64_t{Wait.m_RemotePeers}},
+            {"farHolders", std::uint64_t{Wait.m_RemoteHolders}},
             {"asked", std::uint64_t{Wait.m_Asked}},
-            {"askedOf", Wait.m_AskedOf.m_Text},
-            {"askedMs", msOf(Wait.m_AskedFor)},
+            {"askedOf", Wait.m_OldestRequestPeer.m_Text},
+            {"askedMs", msOf(Wait.m_OldestRequestAge)},
             {"originReads", std::uint64_t{Wait.m_Reading}},
-            {"originRestMs", msOf(Wait.m_OriginRest)}});
+            {"originRestMs", msOf(Wait.m_OriginBackOff)}});
 }
 
 /// Records the progress of a copy and logs its completion once.
--- a/src/kernel/claim-log.cc
+++ b/src/kernel/claim-log.cc
@@ -20,9 +20,9 @@
   const bool Slow = m_Operation != Operation::Nothing &&
                     Now - m_StartedAt >= m_Settings.m_SlowThreshold;
   if (Existing && Existing->m_Attempt >= Added.m_Wanted.m_Attempt)
-    settle(Added, ClaimSettled::Verdict::Taken);
+    settle(Added, ClaimOutcome::Verdict::Taken);
   else if (Now < m_BackOffUntil || Slow || waiting() >= m_Settings.m_MaxWaiting)
-    settle(Added, ClaimSettled::Verdict::Refused);
+    settle(Added, ClaimOutcome::Verdict::Refused);
   else
     m_Queue.push_back(Added);
 }
@@ -225,7 +225,7 @@
     return;
   }
   for (const Waiter &Each : m_InFlight)
-    settle(Each, ClaimSettled::Verdict::Granted);
+    settle(Each, ClaimOutcome::Verdict::Granted);
   m_InFlight.clear();
 }
 
@@ -268,7 +268,7 @@
   };
   for (const Waiter &Each : m_Queue)
     if (IsTaken(Each))
-      settle(Each, ClaimSettled::Verdict::Taken);
+      settle(Each, ClaimOutcome::Verdict::Taken);
   std::erase_if(m_Queue, IsTaken);
 }
 
@@ -279,20 +279,20 @@
   for (std::deque<Waiter> *All : {&m_Queue, &m_InFlight}) {
     for (const Waiter &Each : *All)
       if (IsExpired(Each))
-        settle(Each, ClaimSettled::Verdict::Refused);
+        settle(Each, ClaimOutcome::Verdict::Refused);
     std::erase_if(*All, IsExpired);
   }
 }
 
 void ClaimLog::refuse(std::deque<Waiter> &All) {
   for (const Waiter &Each : All)
-    settle(Each, ClaimSettled::Verdict::Refused);
+    settle(Each, ClaimOutcome::Verdict::Refused);
   All.clear();
 }
 
-void ClaimLog::settle(const Waiter &Of, ClaimSettled::Verdict Verdict) {
+void ClaimLog::settle(const Waiter &Of, ClaimOutcome::Verdict Verdict) {
   const Claim *Existing = find(Of.m_Wanted.m_Key);
-  const bool IsTaken = Verdict == ClaimSettled::Verdict::Taken;
+  const bool IsTaken = Verdict == ClaimOutcome::Verdict::Taken;
   m_Settled.push_back(
       {Of.m_Id, Verdict, IsTaken && Existing ? *Existing : Of.m_Wanted});
 }
@@ -307,7 +307,7 @@
   }
 }
 
-std::vector<ClaimSettled> ClaimLog::takeSettled() {
+std::vector<ClaimOutcome> ClaimLog::takeOutcomes() {
   return std::exchange(m_Settled, {});
 }
 
--- a/src/kernel/engine-model.cc
+++ b/src/kernel/engine-model.cc
@@ -28,12 +28,12 @@
   const double KiloTokens =
       (Profile.m_UsualPromptTokens + Profile.m_UsualAnswerTokens / 2) / 1'000;
   return Profile.m_StepMs +
-         slotsOf(Profile) * (Profile.m_StepMsPerWriter +
+         slotsOf(Profile) * (Profile.m_StepMsPerRequest +
                              KiloTokens * Profile.m_StepMsPerKiloToken);
 }
 
 double prefillMs(const EngineProfile &Profile, double Tokens) {
-  return Tokens / std::max(Profile.m_ReadTokensPerMs, 0.001);
+  return Tokens / std::max(Profile.m_PrefillTokensPerMs, 0.001);
 }
 
 /// Mean interval of completions at an engine whose slots are all taken by usual
@@ -79,14 +79,14 @@
   PlaceQuery Out;
   Out.m_Slots = std::max(1U, Profile.m_Slots);
   Out.m_Reserve = Reserve;
-  Out.m_BetweenEnds = fromMs(completionIntervalMs(Profile));
+  Out.m_CompletionInterval = fromMs(completionIntervalMs(Profile));
   Out.m_ReadTime = fromMs(prefillMs(Profile, Size.m_PromptTokens));
   Out.m_WriteTime = fromMs(PassMs);
   Out.m_FirstWithin = FirstWithin;
   return Out;
 }
 
-Duration waitUntilBegin(const EngineProfile &Profile, double Held) {
+Duration expectedStartDelay(const EngineProfile &Profile, double Held) {
   const double PassMs =
       std::max(1U, Profile.m_StepsPerPass) * fullStepMs(Profile) +
       prefillMs(Profile, Profile.m_UsualPromptTokens);
--- a/src/kernel/instance-table.cc
+++ b/src/kernel/instance-table.cc
@@ -133,7 +133,8 @@
 Duration InstanceTable::timeUntilBegin(const Instance &Each,
                                        TimePoint Now) const {
   const EngineProfile *Engine = engineOf(Each.m_Listed.m_Service);
-  return Engine ? waitUntilBegin(*Engine, loadOf(Each, Now)) : Duration::zero();
+  return Engine ? expectedStartDelay(*Engine, loadOf(Each, Now))
+                : Duration::zero();
 }
 
 bool InstanceTable::serves(const Instance &Each, const ChoiceQuery &Query,
@@ -148,7 +149,7 @@
   const bool IsNear = Each.m_Listed.m_DataCentre == m_Own;
   const bool IsSound = IsFresh && Each.m_HasSoundLink && IsNear;
   const Duration Grace =
-      m_VersionBound - versionSpare(IsSound) - timeUntilBegin(Each, Now);
+      m_VersionBound - versionMargin(IsSound) - timeUntilBegin(Each, Now);
   return std::any_of(
       Each.m_Weights.begin(), Each.m_Weights.end(),
       [&](const HeldWeights &Held) {
@@ -306,9 +307,10 @@
       Best.m_Load < Best.m_Limit ? ChoiceOutcome::Chosen : ChoiceOutcome::Full;
   Best.m_RetryAfter = LeastRetryAfter;
   if (const EngineProfile *Engine = engineOf(Query.m_Service))
-    Best.m_RetryAfter = std::max(
-        LeastRetryAfter, capacityOf(*Engine, Query.m_Objective).m_BetweenEnds /
-                             static_cast<int>(Usable.size()));
+    Best.m_RetryAfter =
+        std::max(LeastRetryAfter,
+                 capacityOf(*Engine, Query.m_Objective).m_CompletionInterval /
+                     static_cast<int>(Usable.size()));
   return Best;
 }
 
--- a/src/kernel/lease.cc
+++ b/src/kernel/lease.cc
@@ -103,7 +103,7 @@
       IsFree || m_Holds ? Now : std::min(Expires, Now + readPeriod());
 }
 
-void Lease::onUnread(TimePoint Now) {
+void Lease::onReadFailed(TimePoint Now) {
   m_MustRead = true;
   m_NextAction = Now + readPeriod();
 }
@@ -119,7 +119,7 @@
   m_NextAction = Asked + readPeriod();
 }
 
-void Lease::onUnwritten(TimePoint Now) {
+void Lease::onWriteFailed(TimePoint Now) {
   m_MustRead = true;
   m_NextAction = Now + (m_Holds ? readPeriod() / 4 : readPeriod());
 }
--- a/src/kernel/place-ledger.cc
+++ b/src/kernel/place-ledger.cc
@@ -50,7 +50,7 @@
     return false;
   advance(Query.m_WriteTime, Now);
   const Duration ForSlot(static_cast<Duration::rep>(
-      Queued * static_cast<double>(Query.m_BetweenEnds.count())));
+      Queued * static_cast<double>(Query.m_CompletionInterval.count())));
   const TimePoint Begin = std::max(m_PassEnd, Now + ForSlot);
   const Duration Read = m_NextReadTime + Query.m_ReadTime;
   const TimePoint By =
--- a/src/kernel/swarm-origin.cc
+++ b/src/kernel/swarm-origin.cc
@@ -223,7 +223,7 @@
 
 void Swarm::backOffChunk(std::uint32_t Chunk, TimePoint Now) {
   CorruptRead &Record = m_CorruptReads[Chunk];
-  Record.m_BackOff = std::clamp(2 * Record.m_BackOff, m_Options.m_OriginRest,
+  Record.m_BackOff = std::clamp(2 * Record.m_BackOff, m_Options.m_OriginBackOff,
                                 m_Options.m_MaxCorruptBackOff);
   Record.m_Until = Now + Record.m_BackOff;
 }
@@ -297,7 +297,7 @@
     return Out;
   }
   m_CurrentOriginBackOff =
-      std::clamp(2 * m_CurrentOriginBackOff, m_Options.m_OriginRest,
+      std::clamp(2 * m_CurrentOriginBackOff, m_Options.m_OriginBackOff,
                  m_Options.m_MaxOriginBackOff);
   m_OriginBackOffUntil = Now + m_CurrentOriginBackOff;
   return Out;
--- a/src/kernel/swarm-wait.cc
+++ b/src/kernel/swarm-wait.cc
@@ -11,18 +11,18 @@
   while (m_Here.contains(Out.m_Chunk))
     ++Out.m_Chunk;
   Out.m_Reading = static_cast<std::uint32_t>(m_Reading.size());
-  Out.m_OriginRest = std::max(m_OriginBackOffUntil - Now, Duration::zero());
-  Out.m_SinceGain = Now - m_LastChunkAt;
+  Out.m_OriginBackOff = std::max(m_OriginBackOffUntil - Now, Duration::zero());
+  Out.m_SinceLastChunk = Now - m_LastChunkAt;
   for (const auto &[Number, Each] : m_Peers) {
     const bool IsHolder = Each.m_Has.contains(Out.m_Chunk);
-    ++(Each.m_IsLocal ? Out.m_Near : Out.m_Far);
-    (Each.m_IsLocal ? Out.m_NearHolders : Out.m_FarHolders) += IsHolder;
+    ++(Each.m_IsLocal ? Out.m_LocalPeers : Out.m_RemotePeers);
+    (Each.m_IsLocal ? Out.m_LocalHolders : Out.m_RemoteHolders) += IsHolder;
     for (const Transfer &Open : Each.m_Expected) {
       ++Out.m_Asked;
-      if (Now - Open.m_Asked < Out.m_AskedFor)
+      if (Now - Open.m_Asked < Out.m_OldestRequestAge)
         continue;
-      Out.m_AskedFor = Now - Open.m_Asked;
-      Out.m_AskedOf = Each.m_Id;
+      Out.m_OldestRequestAge = Now - Open.m_Asked;
+      Out.m_OldestRequestPeer = Each.m_Id;
     }
   }
   return Out;
--- a/src/kernel/swarm.cc
+++ b/src/kernel/swarm.cc
@@ -38,7 +38,7 @@
       m_Here(Chunks), m_Unstaged(Chunks), m_Taken(Chunks), m_Seen(Chunks),
       m_Copies(Chunks), m_Rank(Chunks), m_SeenSince(Chunks), m_DueAt(Chunks),
       m_Unheld(Chunks), m_RequestLimit(Options.m_Expected) {
-  if (Options.m_ChunkPatience != Duration::zero())
+  if (Options.m_TargetChunkTime != Duration::zero())
     m_RequestLimit = std::min(m_RequestLimit, InitialRequestLimit);
 }
 
@@ -64,7 +64,7 @@
   });
 }
 
-bool Swarm::setAside(const InstanceId &Id, TimePoint Now) const {
+bool Swarm::isQuarantined(const InstanceId &Id, TimePoint Now) const {
   const auto Found = m_Failures.find(Id);
   return Found != m_Failures.end() && Now < Found->second.m_Until;
 }
@@ -84,7 +84,7 @@
                                  DataCentreId DataCentre, ChunkSet Has,
                                  const ChunkSet &Seen, TimePoint Now) {
   SwarmActions Out;
-  if (setAside(Id, Now)) {
+  if (isQuarantined(Id, Now)) {
     Out.push_back(DropPeer{Number, m_Failures.at(Id).m_Until});
     return Out;
   }
@@ -245,7 +245,7 @@
 
 /// Shrinks the limit in proportion to the excess time and grows it slowly.
 void Swarm::adaptRequestLimit(Duration ChunkTook) {
-  const Duration Target = m_Options.m_ChunkPatience;
+  const Duration Target = m_Options.m_TargetChunkTime;
   if (Target == Duration::zero())
     return;
   const double Most = m_Options.m_Expected;
@@ -258,13 +258,13 @@
   m_RequestLimit = std::clamp(m_RequestLimit, 1.0, Most);
 }
 
-LinkVerdict Swarm::linkVerdict() const {
+LinkQuality Swarm::linkQuality() const {
   if (m_ChunkTime == Duration::zero())
-    return LinkVerdict::Unknown;
+    return LinkQuality::Unknown;
   if (m_RequestLimit * 2 >= m_Options.m_Expected)
-    return LinkVerdict::Sound;
-  return m_RequestLimit < InitialRequestLimit ? LinkVerdict::Slow
-                                              : LinkVerdict::Unknown;
+    return LinkQuality::Sound;
+  return m_RequestLimit < InitialRequestLimit ? LinkQuality::Slow
+                                              : LinkQuality::Unknown;
 }
 
 std::optional<std::uint32_t> Swarm::choose(const Peer &From, TimePoint Now) {
@@ -331,7 +331,7 @@
   if (!From)
     return Out;
   From->m_Granted.reset();
-  From->m_NoGrantUntil = Now + m_Options.m_DeclineRest;
+  From->m_NoGrantUntil = Now + m_Options.m_DeclineBackOff;
   grant(Out, Now);
   return Out;
 }
--- a/src/kernel/weights-plan.cc
+++ b/src/kernel/weights-plan.cc
@@ -69,7 +69,7 @@
       static_cast<double>(State.m_Rank) /
       static_cast<double>(std::max<std::size_t>(State.m_PoolSize, 1));
   const TimePoint Last =
-      State.m_DeclaredAt + State.m_Bound - State.m_Spare - SwapDuration;
+      State.m_DeclaredAt + State.m_Bound - State.m_Margin - SwapDuration;
   const Duration Left = std::max(Last - State.m_CopiedAt, Duration::zero());
   return State.m_CopiedAt + Duration(static_cast<Duration::rep>(
                                 Position * static_cast<double>(Left.count())));
@@ -77,7 +77,7 @@
 
 bool isWorthFinishing(const CopyProgress &Of) {
   return Of.m_Held >= WorthFinishingShare * Of.m_All &&
-         Of.m_SinceGain < CopyStallTimeout;
+         Of.m_SinceLastChunk < CopyStallTimeout;
 }
 
 WeightsStep nextWeightsStep(const WeightsState &State, TimePoint Now) {
--- a/support/fuzz/link-times-target.cc
+++ b/support/fuzz/link-times-target.cc
@@ -38,8 +38,9 @@
 void checkQuestion(PlaceLedger &Places, const wire::PlaceQuery &Asked,
                    TimePoint Now) {
   const PlaceQuery Query = direct::read(Asked);
-  require(std::min({Query.m_BetweenEnds, Query.m_ReadTime, Query.m_WriteTime,
-                    Query.m_FirstWithin}) >= Duration::zero(),
+  require(std::min({Query.m_CompletionInterval, Query.m_ReadTime,
+                    Query.m_WriteTime, Query.m_FirstWithin}) >=
+              Duration::zero(),
           "no time that is asked for is negative");
   wire::PlaceQuery Again;
   direct::write(Query, Again);
--- a/support/measure/measure-load-age.cc
+++ b/support/measure/measure-load-age.cc
@@ -77,7 +77,7 @@
   EngineProfile Out;
   Out.m_Slots = 8;
   Out.m_StepMs = 11.1;
-  Out.m_ReadTokensPerMs = 21.3;
+  Out.m_PrefillTokensPerMs = 21.3;
   Out.m_StepsPerPass = 6;
   Out.m_UsualPromptTokens = Size.m_PromptTokens;
   Out.m_UsualAnswerTokens = Size.m_AnswerTokens;
--- a/support/simulation/swarm-simulation.cc
+++ b/support/simulation/swarm-simulation.cc
@@ -73,8 +73,8 @@
 void SwarmSimulation::link(std::uint32_t A, std::uint32_t B) {
   if (A == B || !isReachable(m_Nodes[A]) || !isReachable(m_Nodes[B]) ||
       m_Nodes[A].m_Linked.contains(B) ||
-      m_Nodes[A].m_Swarm->setAside(nameOf(B), m_Now) ||
-      m_Nodes[B].m_Swarm->setAside(nameOf(A), m_Now))
+      m_Nodes[A].m_Swarm->isQuarantined(nameOf(B), m_Now) ||
+      m_Nodes[B].m_Swarm->isQuarantined(nameOf(A), m_Now))
     return;
   m_Nodes[A].m_Linked.insert(B);
   m_Nodes[B].m_Linked.insert(A);
--- a/test/claims-test.cc
+++ b/test/claims-test.cc
@@ -13,7 +13,7 @@
 
 namespace {
 
-using Verdict = ClaimSettled::Verdict;
+using Verdict = ClaimOutcome::Verdict;
 
 /// The platform's object store for one shard.
 class FakePlatform {
@@ -97,13 +97,13 @@
   }
 
   void collect() {
-    for (const ClaimSettled &Each : m_Log.takeSettled())
+    for (const ClaimOutcome &Each : m_Log.takeOutcomes())
       m_Settled.emplace(Each.m_Waiter, Each);
   }
 
   FakePlatform &m_Platform;
   ClaimLog m_Log;
-  std::map<ClaimWaiterId, ClaimSettled> m_Settled;
+  std::map<ClaimWaiterId, ClaimOutcome> m_Settled;
   std::vector<AppendLog> m_Delayed;
 
 private:
--- a/test/holders-test.cc
+++ b/test/holders-test.cc
@@ -60,18 +60,18 @@
   Holders All;
   All.note(holderOf("old", 5, Local));
   All.note(holderOf("new", 6, Remote));
-  All.forgetUpTo({5});
+  All.removeUpTo({5});
   EXPECT_EQ(nextOf(All), "new");
-  All.forgetUpTo({6});
+  All.removeUpTo({6});
   EXPECT_TRUE(All.empty());
 }
 
 TEST(Holders, AnnouncementsBeforeAStoreQueryAreRemoved) {
   Holders All;
   All.note(holderOf("told", 6, Local));
-  All.forgetToldBefore(TimePoint{1h});
+  All.removeAnnouncedBefore(TimePoint{1h});
   EXPECT_FALSE(All.empty());
-  All.forgetToldBefore(TimePoint{1h} + 1ms);
+  All.removeAnnouncedBefore(TimePoint{1h} + 1ms);
   EXPECT_TRUE(All.empty());
 }
 
--- a/test/instance-table-test.cc
+++ b/test/instance-table-test.cc
@@ -472,9 +472,9 @@
 TEST(EngineCapacity, LongerObjectiveAllowsMoreQueuedRequests) {
   const EngineProfile Profile{.m_Slots = 16,
                               .m_StepMs = 7.4,
-                              .m_StepMsPerWriter = 0.0387,
+                              .m_StepMsPerRequest = 0.0387,
                               .m_StepMsPerKiloToken = 0.0203,
-                              .m_ReadTokensPerMs = 31.9,
+                              .m_PrefillTokensPerMs = 31.9,
                               .m_StepsPerPass = 6,
                               .m_UsualPromptTokens = 973,
                               .m_UsualAnswerTokens = 106};
@@ -482,10 +482,10 @@
   EXPECT_EQ(capacityOf(Profile, 300ms).m_Limit, 17);
   EXPECT_EQ(capacityOf(Profile, 400ms).m_Limit, 18);
   EXPECT_EQ(capacityOf(Profile, 10s).m_Limit, 20);
-  EXPECT_NEAR(
-      std::chrono::duration<double>(capacityOf(Profile, 400ms).m_BetweenEnds)
-          .count(),
-      0.086, 0.003);
+  EXPECT_NEAR(std::chrono::duration<double>(
+                  capacityOf(Profile, 400ms).m_CompletionInterval)
+                  .count(),
+              0.086, 0.003);
 }
 
 } // namespace
--- a/test/lease-test.cc
+++ b/test/lease-test.cc
@@ -52,7 +52,7 @@
       ++m_Calls;
       if (Step.m_Kind == Lease::Step::Kind::Read) {
         if (Down)
-          m_Lease.onUnread(at(Real));
+          m_Lease.onReadFailed(at(Real));
         else
           m_Lease.onRead(at(Real), Object.m_At, Object.m_Record);
         continue;
@@ -61,7 +61,7 @@
       if (Wrote && !LoseAnswer)
         m_Lease.onWritten(Step.m_At, *Wrote);
       else
-        m_Lease.onUnwritten(at(Real));
+        m_Lease.onWriteFailed(at(Real));
     }
   }
 
--- a/test/servable-test.cc
+++ b/test/servable-test.cc
@@ -230,7 +230,7 @@
       if (pick(3) > 0)
         Has.insert(I);
     const InstanceId Id{"peer-" + std::to_string(Number)};
-    if (!In.m_Swarm->setAside(Id, m_Now))
+    if (!In.m_Swarm->isQuarantined(Id, m_Now))
       perform(In, In.m_Swarm->onPeerJoined(Number, Id, DataCentreId{"lahore"},
                                            Has, Has, m_Now));
   }
--- a/test/swarm-test.cc
+++ b/test/swarm-test.cc
@@ -110,8 +110,8 @@
   const TimePoint Until = Start + Options.m_Quarantine;
   EXPECT_THAT(Subject.onArrived(1, 0, false, Start),
               Contains(SwarmAction(DropPeer{1, Until})));
-  EXPECT_TRUE(Subject.setAside(named("peer-1"), Start));
-  EXPECT_FALSE(Subject.setAside(named("peer-1"), Until));
+  EXPECT_TRUE(Subject.isQuarantined(named("peer-1"), Start));
+  EXPECT_FALSE(Subject.isQuarantined(named("peer-1"), Until));
   EXPECT_TRUE(Subject.wants(0));
   join(Subject, 1, {0, 1});
   EXPECT_TRUE(Subject.onGrant(1, Start).empty());
@@ -132,13 +132,13 @@
 
 TEST(Swarm, ACorruptChunkBacksOffExponentially) {
   SwarmOptions Options;
-  Options.m_MaxCorruptBackOff = 4 * Options.m_OriginRest;
+  Options.m_MaxCorruptBackOff = 4 * Options.m_OriginBackOff;
   Swarm Subject = makeSwarm(1, Options);
   TimePoint Now = Start;
   EXPECT_EQ(readsOf(0, Subject.onTick(Now)), 1U);
   for (int Times : {1, 2, 4, 4}) {
     Subject.onOriginReply(0, Swarm::OriginOutcome::Corrupt, Now);
-    Now += Times * Options.m_OriginRest;
+    Now += Times * Options.m_OriginBackOff;
     EXPECT_EQ(readsOf(0, Subject.onTick(Now - 1ms)), 0U) << Times;
     EXPECT_EQ(readsOf(0, Subject.onTick(Now)), 1U) << Times;
   }
@@ -150,7 +150,7 @@
   Subject.onTick(Start);
   EXPECT_THAT(Subject.onOriginReply(0, Swarm::OriginOutcome::Refused, Start),
               IsEmpty());
-  const TimePoint Retry = Start + Options.m_OriginRest;
+  const TimePoint Retry = Start + Options.m_OriginBackOff;
   EXPECT_EQ(readsOf(0, Subject.onTick(Retry - 1ms)), 0U);
   EXPECT_EQ(readsOf(0, Subject.onTick(Retry)), 1U);
 }
@@ -248,8 +248,8 @@
   };
   Subject.onTick(Now); // Reads both chunks.
   Subject.onOriginReply(1, Swarm::OriginOutcome::Good, Now);
-  EXPECT_EQ(BackOffOf(0), Options.m_OriginRest);
-  EXPECT_EQ(BackOffOf(0), 2 * Options.m_OriginRest);
+  EXPECT_EQ(BackOffOf(0), Options.m_OriginBackOff);
+  EXPECT_EQ(BackOffOf(0), 2 * Options.m_OriginBackOff);
   for (int I = 0; I < 3; ++I)
     BackOffOf(0);
   EXPECT_EQ(BackOffOf(0), Options.m_MaxOriginBackOff);
@@ -387,7 +387,7 @@
 TEST(Swarm, RequestsFewerChunksOverASlowLink) {
   SwarmOptions Options;
   Options.m_Expected = 4;
-  Options.m_ChunkPatience = 600ms;
+  Options.m_TargetChunkTime = 600ms;
   Swarm Subject = makeSwarm(12, Options);
   const std::vector<std::uint32_t> All{0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11};
   for (PeerNumber Number = 1; Number <= 6; ++Number)
@@ -402,18 +402,18 @@
   const auto Second = Ask(2, Start);
   ASSERT_TRUE(First && Second);
   EXPECT_FALSE(Ask(3, Start));
-  EXPECT_EQ(Subject.linkVerdict(), LinkVerdict::Unknown);
+  EXPECT_EQ(Subject.linkQuality(), LinkQuality::Unknown);
   // A fast chunk raises the limit by one, beside the slot that it frees.
   Subject.onArrived(1, *First, true, Start + 100ms);
   ASSERT_TRUE(Ask(3, Start + 100ms));
   ASSERT_TRUE(Ask(4, Start + 100ms));
   EXPECT_FALSE(Ask(5, Start + 100ms));
-  EXPECT_EQ(Subject.linkVerdict(), LinkVerdict::Sound);
+  EXPECT_EQ(Subject.linkQuality(), LinkQuality::Sound);
   // Four times the target time reduces the limit to one, and two chunks are
   // still in flight.
   Subject.onArrived(2, *Second, true, Start + 2'400ms);
   EXPECT_FALSE(Ask(5, Start + 2'400ms));
-  EXPECT_EQ(Subject.linkVerdict(), LinkVerdict::Slow);
+  EXPECT_EQ(Subject.linkQuality(), LinkQuality::Slow);
 }
 
 // A restarted agent adds its staged chunks one by one. Peers that connected
--- a/test/weights-plan-test.cc
+++ b/test/weights-plan-test.cc
@@ -17,7 +17,7 @@
   Out.m_PoolSize = 10;
   Out.m_DeclaredAt = Start;
   Out.m_CopiedAt = Start + 2s;
-  Out.m_Spare = 1'800ms; // 2 s of the bound of 8 s, with the order's 200 ms.
+  Out.m_Margin = 1'800ms; // 2 s of the bound of 8 s, with the order's 200 ms.
   return Out;
 }
 
@@ -72,7 +72,7 @@
     EXPECT_GT(At, Last);
     Last = At;
   }
-  EXPECT_LT(Last, Start + State.m_Bound - State.m_Spare);
+  EXPECT_LT(Last, Start + State.m_Bound - State.m_Margin);
 }
 
 TEST(WeightsPlan, ConsecutiveRanksAreInDifferentDataCentres) {
