--- a/include/deckpitch/engine-model.h
+++ b/include/deckpitch/engine-model.h
@@ -3,7 +3,7 @@
 #pragma once
 
 #include "deckpitch/fleet.h"
-#include "deckpitch/place-ledger.h"
+#include "deckpitch/slot-ledger.h"
 #include "deckpitch/time.h"
 
 #include <chrono>
--- a/include/deckpitch/instance-list.h
+++ b/include/deckpitch/instance-list.h
@@ -39,7 +39,7 @@
 /// Instances that expired from the list during an outage of the store. Those
 /// that are alive register again soon after it returns, and count as listed
 /// until then.
-class LapsedInstances {
+class ExpiredInstances {
 public:
   /// Records that the store returned at that time from an outage that affected
   /// all processes. The next list is the first one since then, as far as this
@@ -47,7 +47,7 @@
   void storeReturned(TimePoint At);
   /// Returns when the store returned, as long as instances may still register
   /// again.
-  std::optional<TimePoint> returnedLately(TimePoint Now) const;
+  std::optional<TimePoint> recentReturn(TimePoint Now) const;
   /// Returns the instances that count as listed: those read, and those of the
   /// known ones that may still register again. An instance that was in a list
   /// since the return has not expired: if it is missing later, it is gone.
@@ -57,7 +57,7 @@
 private:
   TimePoint m_Returned{};
   bool m_IsFirst = false;
-  InstanceList m_Lapsed;
+  InstanceList m_Expired;
 };
 
 } // namespace deckpitch
--- a/include/deckpitch/instance-table.h
+++ b/include/deckpitch/instance-table.h
@@ -65,7 +65,7 @@
   NoInstance,  ///< no instance is listed, or all were tried
   NoWeights,   ///< no instance serves the declared weights yet
   Full,        ///< no instance could start the request in time
-  Resting,     ///< all that could take it have asked for a back-off
+  BackingOff,  ///< all that could take it have asked for a back-off
   Unconfirmed, ///< no listed instance is confirmed to be alive
   ListOutdated ///< other processes have a newer instance list
 };
@@ -122,22 +122,22 @@
   void unanswered(const InstanceId &Id, TimePoint Now);
   /// Records the first byte of a request's answer: its prompt has been
   /// prefilled.
-  void answering(const InstanceId &Id);
+  void answerStarted(const InstanceId &Id);
   enum class End { Good, Failed, Neutral };
   /// Records the end of a request. Returns how long the instance is ejected
   /// from now on, if this failure causes an ejection.
   std::optional<Duration> ended(const InstanceId &Id, End How,
                                 bool WasAnswering, TimePoint Now);
   /// Records that data arrived from the instance.
-  void heard(const InstanceId &Id, TimePoint Now);
+  void dataReceived(const InstanceId &Id, TimePoint Now);
   /// Returns the version of the model that the instance serves; 0 if it serves
   /// none.
   std::uint64_t versionAt(const InstanceId &Id, const std::string &Model) const;
   /// Returns the time by which a request that waits at the instance must have
   /// begun, because the weights that it would begin on are due for replacement;
   /// nothing if they are not.
-  std::optional<TimePoint> beginBy(const InstanceId &Id,
-                                   const std::string &Model) const;
+  std::optional<TimePoint> latestBegin(const InstanceId &Id,
+                                       const std::string &Model) const;
   /// Returns instances with requests under way that have accepted no new ones
   /// for longer than Length, because they are to load other weights.
   std::vector<InstanceId> swappingFor(Duration Length, TimePoint Now) const;
@@ -147,7 +147,7 @@
   bool leaving(const InstanceId &Id);
   /// Sends nothing to the instance until then, as it has asked for a back-off.
   /// Returns true if it was not backing off before.
-  bool rest(const InstanceId &Id, TimePoint Until, TimePoint Now);
+  bool backOff(const InstanceId &Id, TimePoint Until, TimePoint Now);
   /// Records that an instance closed the connection of a request that was sent
   /// to it at that time. Returns true if the instance was alive after that, as
   /// far as is known: the request may have crashed it. An intermediary may
@@ -158,7 +158,7 @@
   void replaced(const InstanceId &Id);
   /// Returns instances with requests under way whose address now belongs to
   /// another incarnation, so that no answer will come.
-  std::vector<InstanceId> supersededWithRequests() const;
+  std::vector<InstanceId> replacedWithRequests() const;
   /// Returns instances with requests under way from which no data has arrived
   /// for longer than Length.
   std::vector<InstanceId> silentFor(Duration Length, TimePoint Now) const;
@@ -196,7 +196,7 @@
     std::optional<TimePoint> m_SwapAt; ///< when it loads other weights
     std::vector<HeldWeights> m_Weights;
     Ejection m_Ejection;
-    TimePoint m_Heard{};
+    TimePoint m_LastActivity{};
     TimePoint m_LastByte{};            ///< last arrival of data from it
     std::optional<TimePoint> m_LostAt; ///< when it was last found to be gone
     /// Until then it is passed over, as its agent did not answer.
@@ -212,8 +212,8 @@
                       TimePoint Now) const;
   Duration timeUntilBegin(const Instance &Each, TimePoint Now) const;
   const EngineProfile *engineOf(const ServiceId &Service) const;
-  bool lives(const Instance &Each, TimePoint Now) const;
-  bool isAsked(const Instance &Each, TimePoint Now) const;
+  bool isAlive(const Instance &Each, TimePoint Now) const;
+  bool needsAgentQuery(const Instance &Each, TimePoint Now) const;
   double loadOf(const Instance &Each, TimePoint Now) const;
   double limitOf(const Instance &Each, const ChoiceQuery &Query) const;
 
--- a/include/deckpitch/link-delay.h
+++ b/include/deckpitch/link-delay.h
@@ -25,27 +25,27 @@
   Duration note(std::uint64_t Incarnation, Length Sent, TimePoint Received) {
     const Duration SentAt = std::clamp<Length>(Sent, Length::zero(), MaxUptime);
     const Duration Offset = Received.time_since_epoch() - SentAt;
-    Life &Of = historyOf(Incarnation, Offset, Received);
+    OffsetHistory &Of = historyOf(Incarnation, Offset, Received);
     if (Received - Of.m_Since >= Window) {
-      Of.m_Former = Of.m_Current;
+      Of.m_Previous = Of.m_Current;
       Of.m_Current = Offset;
       Of.m_Since = Received;
     }
     Of.m_Current = std::min(Of.m_Current, Offset);
-    return Offset - std::min(Of.m_Current, Of.m_Former);
+    return Offset - std::min(Of.m_Current, Of.m_Previous);
   }
 
 private:
-  struct Life {
+  struct OffsetHistory {
     std::uint64_t m_Incarnation = 0;
     TimePoint m_Since{};
-    Duration m_Current{}; ///< smallest offset in this window
-    Duration m_Former{};  ///< smallest offset in the previous window
+    Duration m_Current{};  ///< smallest offset in this window
+    Duration m_Previous{}; ///< smallest offset in the previous window
   };
 
-  Life &historyOf(std::uint64_t Incarnation, Duration Offset,
-                  TimePoint Received) {
-    for (Life &Each : m_Histories)
+  OffsetHistory &historyOf(std::uint64_t Incarnation, Duration Offset,
+                           TimePoint Received) {
+    for (OffsetHistory &Each : m_Histories)
       if (Each.m_Incarnation == Incarnation)
         return Each;
     m_Histories.back() = m_Histories.front();
@@ -62,7 +62,7 @@
   static constexpr std::size_t HistoriesKept = 2;
 
   /// Latest new incarnation first.
-  std::array<Life, HistoriesKept> m_Histories{};
+  std::array<OffsetHistory, HistoriesKept> m_Histories{};
 };
 
 } // namespace deckpitch
--- a/include/deckpitch/membership-table.h
+++ b/include/deckpitch/membership-table.h
@@ -55,10 +55,10 @@
   void setSelf(Member Self, std::uint64_t Sequence);
   /// Takes a full heartbeat from the member itself. Returns false if it is
   /// outdated.
-  bool heard(TimePoint Now, const MemberRecord &Record);
+  bool receiveHeartbeat(TimePoint Now, const MemberRecord &Record);
   /// Takes a short heartbeat. Returns false if the member's full record is not
   /// known.
-  bool heardShort(TimePoint Now, const Heartbeat &Short);
+  bool receiveShortHeartbeat(TimePoint Now, const Heartbeat &Short);
   /// Merges a record from another entry. Returns true if it changed anything.
   bool merge(TimePoint Now, const MemberRecord &Record);
   /// Applies the platform's list. The list lags, so it neither revives members
@@ -78,7 +78,7 @@
   /// Returns the incarnation of this member that is leaving, as far as is known
   /// here; an empty one if it is not. For this entry itself, it is what the
   /// platform's list says.
-  Incarnation leavingLife(const InstanceId &Id) const;
+  Incarnation leavingIncarnation(const InstanceId &Id) const;
   /// Returns a hash of the view, without load and sequences, which is equal at
   /// entries with the same view.
   std::uint64_t digest() const;
@@ -91,16 +91,17 @@
 private:
   struct Known {
     MemberRecord m_Record;
-    TimePoint m_Heard; ///< arrival of the newest sequence, on any path
-    TimePoint m_Asked; ///< when the other watchers were asked
+    TimePoint m_LastUpdate; ///< arrival of the newest sequence, on any path
+    TimePoint m_Asked;      ///< when the other watchers were asked
     bool m_HasAsked = false;
     bool m_IsWatchedHere = false;
-    bool m_Leaving = false; ///< permanent in this incarnation
-    unsigned m_Told = 0;    ///< how often the newest change was sent
+    bool m_Leaving = false;   ///< permanent in this incarnation
+    unsigned m_TimesSent = 0; ///< how often the newest change was sent
   };
 
-  bool take(TimePoint Now, const MemberRecord &Record, MemberSource Source);
-  void judge(TimePoint Now, Known &Of, std::vector<SilenceQuestion> &Out);
+  bool apply(TimePoint Now, const MemberRecord &Record, MemberSource Source);
+  void updateSilence(TimePoint Now, Known &Of,
+                     std::vector<SilenceQuestion> &Out);
   void dropGone(TimePoint Now);
 
   InstanceId m_SelfId;
--- a/include/deckpitch/shared-reading.h
+++ b/include/deckpitch/shared-reading.h
@@ -26,22 +26,23 @@
 /// Rank of a process among those that may read. Each data centre takes over
 /// from the first process independently, so that a read that crosses the link
 /// between two regions is then passed on to the other processes near it.
-struct ReadingTurn {
+struct ReadRank {
   std::size_t m_All = 0;  ///< processes ranked before it
   std::size_t m_Near = 0; ///< those of them in its own data centre
 
-  friend bool operator==(const ReadingTurn &, const ReadingTurn &) = default;
+  friend bool operator==(const ReadRank &, const ReadRank &) = default;
 };
 
 /// What another process reported about its cached view, and how the report
 /// arrived.
-struct ToldReading {
+struct ReportedReading {
   Duration m_Age{};         ///< age of the view when sent
   Duration m_Late{};        ///< how much longer than usual the report took
   bool m_IsNear = false;    ///< sent from the own data centre
   bool m_IsRelayed = false; ///< the sender has it from another process
 
-  friend bool operator==(const ToldReading &, const ToldReading &) = default;
+  friend bool operator==(const ReportedReading &,
+                         const ReportedReading &) = default;
 };
 
 /// Added to the age of relayed reports, each time: more than the network delay
@@ -52,12 +53,12 @@
 
 /// Returns when the store held the reported view, or nothing if that is not
 /// certain: the delay between data centres may exceed RelayMargin.
-inline std::optional<TimePoint> asOfTold(const ToldReading &Told,
-                                         TimePoint Now) {
-  const TimePoint AsOf = Now - Told.m_Age - Told.m_Late;
-  if (!Told.m_IsRelayed)
+inline std::optional<TimePoint> asOfReport(const ReportedReading &Reported,
+                                           TimePoint Now) {
+  const TimePoint AsOf = Now - Reported.m_Age - Reported.m_Late;
+  if (!Reported.m_IsRelayed)
     return AsOf;
-  if (!Told.m_IsNear)
+  if (!Reported.m_IsNear)
     return std::nullopt;
   return AsOf - RelayMargin;
 }
@@ -69,8 +70,8 @@
   explicit SharedReading(ReadingPlan Plan) : m_Plan(Plan) {}
 
   /// Sets the rank of this process; the first process reads as long as it can.
-  void setTurn(ReadingTurn Turn) { m_Turn = Turn; }
-  bool isFirst() const { return m_Turn.m_All == 0; }
+  void setRank(ReadRank Rank) { m_Rank = Rank; }
+  bool isFirst() const { return m_Rank.m_All == 0; }
 
   /// Records that the store held the cached view at that time, as read by this
   /// process or reported by another. An older time changes nothing.
@@ -91,7 +92,9 @@
   }
   /// Records that another process reported its view at that time, which was at
   /// least as new as the one here.
-  void noteTold(TimePoint At) { m_ToldAt = std::max(m_ToldAt, At); }
+  void noteReport(TimePoint At) {
+    m_LastReportAt = std::max(m_LastReportAt, At);
+  }
   /// Records that the newer version of the others has arrived here.
   void noteCaughtUp() { m_IsBehind = false; }
 
@@ -99,15 +102,15 @@
   /// Returns whether that time is known from another process only.
   bool isRelayed() const { return m_IsRelayed; }
   bool isBehind() const { return m_IsBehind; }
-  TimePoint lastReportAt() const { return m_ToldAt; }
+  TimePoint lastReportAt() const { return m_LastReportAt; }
   /// Returns how long a newer version has been known to exist.
   Duration behindFor(TimePoint Now) const {
     return m_IsBehind ? Now - m_BehindSince : Duration::zero();
   }
   /// Returns how long this process waits for those ranked before it in its data
   /// centre to read.
-  Duration turnWait() const {
-    const auto Before = static_cast<Duration::rep>(m_Turn.m_Near);
+  Duration rankDelay() const {
+    const auto Before = static_cast<Duration::rep>(m_Rank.m_Near);
     return std::min(m_Plan.m_RankDelay * Before, m_Plan.m_MaxRankDelay);
   }
   /// Returns when this process must read; at once while nothing is known.
@@ -118,7 +121,7 @@
       return m_ReadAt;
     if (isFirst())
       return m_AsOf + m_Plan.m_Interval;
-    return m_AsOf + m_Plan.m_TakeOverAge + turnWait();
+    return m_AsOf + m_Plan.m_TakeOverAge + rankDelay();
   }
   /// Returns whether no process has confirmed the view for so long that the
   /// store must have been unavailable, at least to this process.
@@ -128,12 +131,12 @@
 
 private:
   ReadingPlan m_Plan;
-  ReadingTurn m_Turn;
+  ReadRank m_Rank;
   TimePoint m_AsOf{};
   bool m_IsRelayed = false;
   bool m_IsBehind = false;
   TimePoint m_BehindSince{};
-  TimePoint m_ToldAt{};
+  TimePoint m_LastReportAt{};
   TimePoint m_ReadAt{};
 };
 
--- a/include/deckpitch/place-ledger.h
+++ b/include/deckpitch/slot-ledger.h
@@ -10,7 +10,7 @@
 namespace deckpitch {
 
 /// Maximum number of requests that wait at an engine, as a share of its slots.
-inline constexpr double MostQueuedShare = 0.25;
+inline constexpr double MaxQueuedShare = 0.25;
 
 /// Requirements of a request on an engine, and how soon it needs the first
 /// token.
@@ -33,7 +33,7 @@
 /// its end. A burst of prompts therefore delays all of them, and also those
 /// that arrive during their prefill. One ledger per instance counts what all
 /// entries have been granted, so that no entry needs to know of the others.
-class PlaceLedger {
+class SlotLedger {
 public:
   /// Records the number of requests that the instance reports. Grants that
   /// cannot show in that number yet remain counted.
--- a/include/deckpitch/state-batch.h
+++ b/include/deckpitch/state-batch.h
@@ -67,7 +67,7 @@
 
 /// Returns whether a received batch is valid: it has a known format, and no
 /// more states than a sender puts into one; a single state may be larger.
-bool isValid(const StateBatch &Told);
+bool isValid(const StateBatch &Batch);
 
 /// Splits the states into batches of at most MaxBatchBytes; returns none for
 /// no states.
--- a/include/deckpitch/state-spread.h
+++ b/include/deckpitch/state-spread.h
@@ -20,10 +20,10 @@
 inline constexpr Duration LocalInterval = std::chrono::milliseconds(100);
 /// Interval between rounds to another data centre: entries there send requests
 /// here only if their own instances cannot take them.
-inline constexpr Duration FarSpan = std::chrono::milliseconds(200);
+inline constexpr Duration RemoteInterval = std::chrono::milliseconds(200);
 /// Interval in which a relay repeats unchanged states, because datagrams are
 /// lost.
-inline constexpr Duration RepeatSpan = std::chrono::seconds(1);
+inline constexpr Duration RepeatInterval = std::chrono::seconds(1);
 /// Time without a batch from the own relays after which they count as silent:
 /// four rounds of two relays are not all lost by chance.
 inline constexpr Duration RelayTimeout = std::chrono::milliseconds(400);
@@ -82,10 +82,10 @@
   /// rejected when they arrive.
   void setInstances(const std::vector<ListedAddress> &Listed);
   /// Takes an agent's own datagram, which arrived later than usual by Late.
-  void receiveReport(const SpreadState &Said, TimePoint Now,
+  void receiveReport(const SpreadState &State, TimePoint Now,
                      Duration Late = {});
   /// Takes another entry's datagram, which arrived later than usual by Late.
-  void receiveBatch(const InstanceId &From, const StateBatch &Told,
+  void receiveBatch(const InstanceId &From, const StateBatch &Received,
                     TimePoint Now, Duration Late = {});
 
   /// Returns the batches to send now. To be called after each change and every
@@ -117,7 +117,7 @@
   /// What has yet to be sent to the entries at the end of a path.
   struct Channel {
     std::vector<InstanceId> m_Targets; ///< at the last update, sorted
-    std::set<std::string> m_Behind;    ///< addresses to send in the next round
+    std::set<std::string> m_Pending;   ///< addresses to send in the next round
     std::set<std::string> m_Urgent;    ///< those of them to send at once
     TimePoint m_NextRound{};
     TimePoint m_RepeatedUntil{};
@@ -135,7 +135,7 @@
   };
 
   const std::vector<InstanceId> &relaysOf(const DataCentreId &Of) const;
-  bool isNear(const InstanceId &Entry) const;
+  bool isLocal(const InstanceId &Entry) const;
   bool maySendFor(const InstanceId &Entry, const DataCentreId &Of) const;
   void setPartners(const DataCentreId &In, TimePoint Now);
   void setChannels();
@@ -143,8 +143,9 @@
   void noteSender(const InstanceId &From, const DataCentreId &Of,
                   TimePoint Now);
   void receiveState(const InstanceId &From, const DataCentreId &Of,
-                    const AgedState &Told, TimePoint Now, Duration Late);
-  ReportChange learn(Instance &About, const KnownState &Told, TimePoint Now);
+                    const AgedState &Received, TimePoint Now, Duration Late);
+  ReportChange update(Instance &About, const KnownState &Received,
+                      TimePoint Now);
   void markLocal(const DataCentreId &Of, const std::string &Address,
                  ReportChange Change);
   void markRemote(const std::string &Address, ReportChange Change);
@@ -156,8 +157,8 @@
   bool isSilent(const Partners &Of, TimePoint Now) const;
   void updateTargets(const Path &Along, Channel &To, TimePoint Now) const;
   void addRepeats(const Path &Along, Channel &To, TimePoint Now) const;
-  void tell(const Path &Along, Channel &To, TimePoint Now,
-            std::vector<StateSend> &Out) const;
+  void addDueBatches(const Path &Along, Channel &To, TimePoint Now,
+                     std::vector<StateSend> &Out) const;
   std::vector<AgedState> statesFor(const std::set<std::string> &Addresses,
                                    TimePoint Now) const;
 
--- a/include/deckpitch/store-belief.h
+++ b/include/deckpitch/store-freshness.h
@@ -12,11 +12,11 @@
 
 /// Freshness of the cached view of one subject: the declaration, or the list of
 /// instances.
-struct StoreBelief {
+struct StoreFreshness {
   /// Time since the store is known to have held nothing newer.
   Duration m_Age{};
   /// A newer version may be in force by now, so nothing may be denied for good.
-  bool m_MayBeOld = false;
+  bool m_MayBeStale = false;
   /// A newer version is known to exist and must be in force by now, or by the
   /// time at which a request arrives. The cached view must not be used: a
   /// revoked key would still be served, or a request be sent to an instance
@@ -24,9 +24,10 @@
   bool m_IsOutdated = false;
   /// Outdated because the process was paused: whether a newer version exists is
   /// not known yet.
-  bool m_IsUnsure = false;
+  bool m_IsUnconfirmed = false;
 
-  friend bool operator==(const StoreBelief &, const StoreBelief &) = default;
+  friend bool operator==(const StoreFreshness &,
+                         const StoreFreshness &) = default;
 };
 
 /// Divisor of the bound that gives the time for fetching a newer version after
@@ -51,12 +52,12 @@
 /// Detects that the whole process was paused: the clock ran on, its event loop
 /// did not. That nothing was received meanwhile says nothing about the store,
 /// as the process was not listening.
-class StandStill {
+class PauseDetector {
 public:
   /// Called in each iteration of the event loop and before each use of the
   /// cached view, because a request may be the first thing to run after a
   /// pause. Returns the length of the pause that has just ended, if any.
-  std::optional<Duration> running(TimePoint Now) {
+  std::optional<Duration> noteIteration(TimePoint Now) {
     const TimePoint Before = std::exchange(m_LastIteration, Now);
     const Duration Gap = Now - Before;
     if (Before == TimePoint{} || Gap < MinPause)
@@ -72,7 +73,7 @@
   }
   /// Returns whether a pause has ended since that time: a timeout that expired
   /// during a pause says nothing about the other side.
-  bool hasEndedSince(TimePoint Time) const { return m_Resumed > Time; }
+  bool hasPauseEndedSince(TimePoint Time) const { return m_Resumed > Time; }
   /// Returns whether nothing has been received about the subject since a pause
   /// ended, while a newer version may be in force by now. Usable is the age up
   /// to which the cached view may be used. If nothing arrives for some time,
@@ -112,8 +113,9 @@
 /// it is not due before that time plus the bound. If no process is known to
 /// have a newer version, the store is unavailable, and the cached view remains
 /// the best one.
-inline StoreBelief beliefOf(const SharedReading &Reading, Duration Bound,
-                            TimePoint Now, const StandStill &Still = {}) {
+inline StoreFreshness freshnessOf(const SharedReading &Reading, Duration Bound,
+                                  TimePoint Now,
+                                  const PauseDetector &Still = {}) {
   const Duration Age = Now - Reading.asOf();
   const Duration Usable = Bound - SendMargin;
   const bool IsOld = Age >= Usable;
@@ -128,8 +130,8 @@
 /// long that some process would have read the store, and no process is known to
 /// have. Entries that took an outage of their own for one of all kept an
 /// instance for 4.2 s after it had left, where 3 s are allowed.
-inline bool showsReturn(const SharedReading &Reading, bool HasFailedHere,
-                        TimePoint Now) {
+inline bool showsStoreReturn(const SharedReading &Reading, bool HasFailedHere,
+                             TimePoint Now) {
   return HasFailedHere && Reading.isStale(Now) && !Reading.isBehind();
 }
 
--- a/src/daemon/membership-entry.cc
+++ b/src/daemon/membership-entry.cc
@@ -112,7 +112,7 @@
         List.push_back({InstanceId{Each.m_Name}, Each.m_Leaving});
       m_Table->applyPlatformList(List);
       const InstanceId &Self = m_Process.m_Settings.m_Instance;
-      if (m_Table->leavingLife(Self) == m_Process.m_Incarnation)
+      if (m_Table->leavingIncarnation(Self) == m_Process.m_Incarnation)
         m_Process.m_StartDrain("platform");
       publishSoon();
     }
@@ -235,13 +235,14 @@
       MemberRecord Record = fromWire(Beat.member());
       Record.m_Member.m_Id = From;
       Record.m_Member.m_Incarnation.m_Value = Message.incarnation();
-      m_Table->heard(now(), Record);
+      m_Table->receiveHeartbeat(now(), Record);
     } else {
-      Known = m_Table->heardShort(now(), {From,
-                                          {Message.incarnation()},
-                                          Beat.sequence(),
-                                          {Beat.short_form().in_force()},
-                                          fromWire(Beat.short_form().load())});
+      Known = m_Table->receiveShortHeartbeat(
+          now(), {From,
+                  {Message.incarnation()},
+                  Beat.sequence(),
+                  {Beat.short_form().in_force()},
+                  fromWire(Beat.short_form().load())});
     }
     reply(From, Beat, Known);
     compareViews(From, Beat);
@@ -261,7 +262,7 @@
       tellEntries(*Sender, Beat.has_member(), *Reply);
     m_Process.m_Bus->send(Beat.address(), std::move(Message));
     // Told at each heartbeat: one that is lost delays the drain by a period.
-    if (Sender && m_Table->leavingLife(To).m_Value != 0)
+    if (Sender && m_Table->leavingIncarnation(To).m_Value != 0)
       sendRecords(Beat.address(), {*Sender});
   }
 
--- a/src/direct/agent.cc
+++ b/src/direct/agent.cc
@@ -1,7 +1,7 @@
 // The agent of one instance: supplies it with the declared weights and reports
 // its state to the entries.
 #include "daemon/clock.h"
-#include "deckpitch/place-ledger.h"
+#include "deckpitch/slot-ledger.h"
 #include "direct/adapter.h"
 #include "direct/fleet-follower.h"
 #include "direct/place-client.h"
@@ -138,7 +138,7 @@
 
   InstanceReport m_Report;
   bool m_HasReport = false;
-  PlaceLedger m_Places;
+  SlotLedger m_Places;
   wire::InstanceState m_LastSent; ///< the state last sent to any entry
   std::map<std::string, Subscriber> m_Entries; ///< by link address
   std::minstd_rand m_Random{std::random_device{}()};
--- a/src/direct/entry-attempts.cc
+++ b/src/direct/entry-attempts.cc
@@ -121,7 +121,7 @@
                                       {"source", "answer"},
                                       {"request", In.m_Terms.m_AttemptId}});
   const bool Rests = Notice.m_Rest > Duration::zero();
-  if (Rests && m_Instances.rest(From, now() + Notice.m_Rest, now()))
+  if (Rests && m_Instances.backOff(From, now() + Notice.m_Rest, now()))
     net::log(Event::InstanceResting, {{"instance", From.m_Text},
                                       {"restMs", msOf(Notice.m_Rest)},
                                       {"request", In.m_Terms.m_AttemptId}});
@@ -176,7 +176,7 @@
   }
   net::HttpStream &Body = **Answer;
   Cancel.onCancel([&Body] { Body.cancel(); });
-  m_Instances.heard(Chosen.m_Instance, now());
+  m_Instances.dataReceived(Chosen.m_Instance, now());
   const AnswerMeaning Meaning = m_Adapter.meaningOf(
       Body.status(), Body.headers(), Of.m_Terms.m_AttemptId);
   if (Meaning == AnswerMeaning::Foreign) {
@@ -254,7 +254,7 @@
     }
     if (Piece->empty())
       break;
-    m_Instances.heard(Of.m_Instance, now());
+    m_Instances.dataReceived(Of.m_Instance, now());
     Of.m_Body += *Piece;
   }
   Of.m_FirstByte = now() - Of.m_Start;
@@ -280,7 +280,7 @@
 
 void EntryRequests::recordFirstByte(Call &Of) {
   Of.m_IsAnswering = true;
-  m_Instances.answering(Of.m_Instance);
+  m_Instances.answerStarted(Of.m_Instance);
   m_Instances.firstToken(Of.m_Query, now() - Of.m_Sent);
 }
 
@@ -329,7 +329,7 @@
     if (!Piece || Of.m_IsMoving)
       co_return Of.m_Answer.started() ? AttemptOutcome::Broken
                                       : AttemptOutcome::Lost;
-    m_Instances.heard(Of.m_Instance, now());
+    m_Instances.dataReceived(Of.m_Instance, now());
     Of.m_Heard = now();
     if (!Of.m_IsAnswering)
       recordFirstByte(Of);
--- a/src/direct/entry-moves.cc
+++ b/src/direct/entry-moves.cc
@@ -206,7 +206,7 @@
     const auto By =
         Calls.empty()
             ? std::nullopt
-            : m_Instances.beginBy(Id, (*Calls.begin())->m_Query.m_Model);
+            : m_Instances.latestBegin(Id, (*Calls.begin())->m_Query.m_Model);
     if (!By || Now < *By - MoveMargin)
       continue;
     moveStreamsFrom(Id, "weights are due",
@@ -235,7 +235,7 @@
                {{"instance", Id.m_Text}, {"silentMs", msOf(InstanceSilence)}});
     moveStreamsFrom(Id, "instance silent", [](const Call &) { return true; });
   }
-  for (const InstanceId &Id : m_Instances.supersededWithRequests())
+  for (const InstanceId &Id : m_Instances.replacedWithRequests())
     moveStreamsFrom(Id, "instance restarted",
                     [](const Call &) { return true; });
   m_Silent = std::move(Silent);
--- a/src/direct/entry-peers.cc
+++ b/src/direct/entry-peers.cc
@@ -123,8 +123,8 @@
   return Out;
 }
 
-ReadingTurn EntryPeers::ownTurn(TimePoint Now) const {
-  ReadingTurn Out;
+ReadRank EntryPeers::ownTurn(TimePoint Now) const {
+  ReadRank Out;
   for (const auto &[Id, Each] : m_Peers) {
     const bool IsBefore =
         Each.m_TakesCallers && Id < m_Own.m_Id && isInGroup(Each, Now);
--- a/src/direct/entry-peers.h
+++ b/src/direct/entry-peers.h
@@ -64,7 +64,7 @@
   std::vector<std::string> group(TimePoint Now, NewsReach Reach) const;
   /// Number of entries of the group that read the store before this one: those
   /// that accept callers and have a smaller id.
-  ReadingTurn ownTurn(TimePoint Now) const;
+  ReadRank ownTurn(TimePoint Now) const;
   /// Whether the entry with that link address is in this data centre.
   bool isNear(const std::string &Link) const;
   /// Addresses for a caller in a data centre: the entries there if there are
--- a/src/direct/entry-requests.cc
+++ b/src/direct/entry-requests.cc
@@ -63,7 +63,7 @@
     return "no weights";
   case ChoiceOutcome::Full:
     return "full";
-  case ChoiceOutcome::Resting:
+  case ChoiceOutcome::BackingOff:
     return "all rest";
   case ChoiceOutcome::Unconfirmed:
     return "nobody confirms that instances live";
@@ -167,8 +167,8 @@
   if (Routes.declaration().m_Version == 0)
     co_return co_await refuse(Of, StatusUnavailable, "starting",
                               RetryAfterStart);
-  const StoreBelief Freshness = m_DeclarationFreshness();
-  if (Freshness.m_IsUnsure)
+  const StoreFreshness Freshness = m_DeclarationFreshness();
+  if (Freshness.m_IsUnconfirmed)
     co_return co_await refuse(Of, StatusUnavailable,
                               "stood still, declaration may be old",
                               RetryAfterOutdated);
@@ -214,7 +214,7 @@
 /// link, answered 404 for routes that existed.
 asio::awaitable<void> EntryRequests::rejectUnknown(Call &Of, unsigned Status,
                                                    std::string Reason) {
-  if (m_DeclarationFreshness().m_MayBeOld)
+  if (m_DeclarationFreshness().m_MayBeStale)
     co_return co_await refuse(Of, StatusUnavailable,
                               Reason + ", declaration may be old",
                               RetryAfterStart);
@@ -332,7 +332,7 @@
   ChoiceQuery Query = Of.m_Query;
   Query.m_Tried.clear();
   const InstanceChoice Next = m_Instances.choose(Query, now());
-  if (Next.m_Outcome == ChoiceOutcome::Resting)
+  if (Next.m_Outcome == ChoiceOutcome::BackingOff)
     return Next.m_RetryAfter;
   return std::max(Of.m_RetryAfter, MinRetryAfterNotRun);
 }
--- a/src/direct/entry-requests.h
+++ b/src/direct/entry-requests.h
@@ -7,7 +7,7 @@
 #include "deckpitch/retry-window.h"
 #include "deckpitch/route-index.h"
 #include "deckpitch/size-shares.h"
-#include "deckpitch/store-belief.h"
+#include "deckpitch/store-freshness.h"
 #include "direct/adapter.h"
 #include "direct/harmful-watch.h"
 #include "net/http.h"
@@ -47,8 +47,8 @@
   void setEntries(std::size_t Count, TimePoint Now);
   /// Sets the functions that return the freshness of the cached declaration and
   /// of the cached instance list; see FleetFollower.
-  void setFreshness(std::function<StoreBelief()> Declaration,
-                    std::function<StoreBelief()> Instances) {
+  void setFreshness(std::function<StoreFreshness()> Declaration,
+                    std::function<StoreFreshness()> Instances) {
     m_DeclarationFreshness = std::move(Declaration);
     m_ListFreshness = std::move(Instances);
   }
@@ -152,10 +152,12 @@
   AskSlot m_Ask;
   std::shared_ptr<const RouteIndex> m_Routes =
       std::make_shared<const RouteIndex>();
-  std::function<StoreBelief()> m_DeclarationFreshness = [] {
-    return StoreBelief{};
+  std::function<StoreFreshness()> m_DeclarationFreshness = [] {
+    return StoreFreshness{};
+  };
+  std::function<StoreFreshness()> m_ListFreshness = [] {
+    return StoreFreshness{};
   };
-  std::function<StoreBelief()> m_ListFreshness = [] { return StoreBelief{}; };
   std::map<ServiceId, RetryWindow> m_RetryWindows;
   /// Statistics of one route's requests.
   struct RouteLoad {
--- a/src/direct/entry.cc
+++ b/src/direct/entry.cc
@@ -273,7 +273,7 @@
 /// Logs when the cached instance list becomes too old to send requests by, and
 /// when it is current again.
 void Entry::logListFreshness() {
-  const StoreBelief Freshness = m_Follower.instancesBelief();
+  const StoreFreshness Freshness = m_Follower.instancesBelief();
   if (Freshness.m_IsOutdated == m_WasListOutdated)
     return;
   m_WasListOutdated = Freshness.m_IsOutdated;
@@ -430,7 +430,7 @@
     m_Harmful.removeExpired();
     m_Instances.setEntries(m_Peers.liveCount(Now));
     m_Requests.setEntries(entriesThatRetry(), Now);
-    m_Follower.setTurn(m_Peers.ownTurn(Now));
+    m_Follower.setRank(m_Peers.ownTurn(Now));
     logListFreshness();
     m_Requests.checkSilence(Now);
     m_Requests.moveStreamsFromSwapping(Now);
--- a/src/direct/fleet-follower.cc
+++ b/src/direct/fleet-follower.cc
@@ -130,10 +130,10 @@
   m_InstancesWake.cancel();
 }
 
-void FleetFollower::setTurn(ReadingTurn Turn) {
-  m_Declarations.m_Reading.setTurn(Turn);
-  m_WeightVersions.m_Reading.setTurn(Turn);
-  m_Instances.setTurn(Turn);
+void FleetFollower::setRank(ReadRank Turn) {
+  m_Declarations.m_Reading.setRank(Turn);
+  m_WeightVersions.m_Reading.setRank(Turn);
+  m_Instances.setRank(Turn);
 }
 
 asio::awaitable<void> FleetFollower::pause(Duration Length) {
@@ -305,19 +305,19 @@
   co_return false;
 }
 
-StoreBelief FleetFollower::declarationBelief() {
+StoreFreshness FleetFollower::declarationBelief() {
   checkForPause();
-  return beliefOf(m_Declarations.m_Reading, m_Bounds.m_Apply, now(),
-                  m_PauseDetector);
+  return freshnessOf(m_Declarations.m_Reading, m_Bounds.m_Apply, now(),
+                     m_PauseDetector);
 }
 
-StoreBelief FleetFollower::instancesBelief() {
+StoreFreshness FleetFollower::instancesBelief() {
   checkForPause();
-  return beliefOf(m_Instances, m_Bounds.m_Drain, now(), m_PauseDetector);
+  return freshnessOf(m_Instances, m_Bounds.m_Drain, now(), m_PauseDetector);
 }
 
 void FleetFollower::checkForPause() {
-  const std::optional<Duration> Pause = m_PauseDetector.running(now());
+  const std::optional<Duration> Pause = m_PauseDetector.noteIteration(now());
   if (Pause)
     net::log(Event::ProcessStoodStill,
              {{"ms",
@@ -327,7 +327,7 @@
 
 bool FleetFollower::wasPausedSince(TimePoint Time) {
   checkForPause();
-  return m_PauseDetector.hasEndedSince(Time);
+  return m_PauseDetector.hasPauseEndedSince(Time);
 }
 
 void FleetFollower::applyDeclaration(const net::PlatformObject &Object,
--- a/src/direct/fleet-follower.h
+++ b/src/direct/fleet-follower.h
@@ -6,7 +6,7 @@
 #include "deckpitch/holders.h"
 #include "deckpitch/instance-list.h"
 #include "deckpitch/shared-reading.h"
-#include "deckpitch/store-belief.h"
+#include "deckpitch/store-freshness.h"
 #include "deckpitch/time.h"
 #include "direct/adapter.h"
 #include "direct/entry-peers.h"
@@ -75,7 +75,7 @@
   void start();
   void stop();
   /// Sets this entry's rank among the readers; see SharedReading.
-  void setTurn(ReadingTurn Turn);
+  void setRank(ReadRank Turn);
   /// Handles an update from another entry.
   void hear(const wire::StoreNews &News, const NewsOrigin &From);
   /// Versions and ages of all that is known here, without the texts, from which
@@ -94,8 +94,8 @@
   bool knowsDeclaration() const { return m_Version != 0; }
   /// Call this and instancesBelief in each iteration of the event loop too, so
   /// that a pause of the process is detected.
-  StoreBelief declarationBelief();
-  StoreBelief instancesBelief();
+  StoreFreshness declarationBelief();
+  StoreFreshness instancesBelief();
   /// Whether the store was read, even if it names no version.
   bool knowsWeights() const {
     return m_WeightVersions.m_Reading.asOf() != TimePoint{};
@@ -145,7 +145,7 @@
   asio::awaitable<bool> fetchFromHolder(std::string Link, Revision Has);
   void noteInstancesAnnounced(Revision At, const NewsOrigin &From,
                               TimePoint Now);
-  void confirmIfCertain(SharedReading &Reading, const ToldReading &Told,
+  void confirmIfCertain(SharedReading &Reading, const ReportedReading &Told,
                         TimePoint Now);
   asio::awaitable<void> waitUntilDue(SharedReading &Reading,
                                      asio::steady_timer &Wake);
@@ -207,9 +207,9 @@
   FollowedKind m_WeightVersions;
   SharedReading m_Instances;
   asio::steady_timer m_InstancesWake;
-  LapsedInstances m_Expired;
+  ExpiredInstances m_Expired;
   bool m_HasListFailed = false; ///< since the last list that was received
-  StandStill m_PauseDetector;
+  PauseDetector m_PauseDetector;
   bool m_IsStoreAway = false;
   bool m_Stopped = false;
   std::minstd_rand m_Random{std::random_device{}()};
--- a/src/direct/fleet-instances.cc
+++ b/src/direct/fleet-instances.cc
@@ -63,7 +63,7 @@
     Update.set_revision(m_ReadRevision.m_Value);
     Update.set_age_ms(ageMs(m_Instances.asOf()));
     Update.set_is_relayed(m_Instances.isRelayed());
-    if (const auto Returned = m_Expired.returnedLately(now()))
+    if (const auto Returned = m_Expired.recentReturn(now()))
       Update.set_returned_ms(ageMs(*Returned));
   };
   publish(Fill, Reach);
@@ -93,7 +93,7 @@
     return false;
   ListTimes Times{AsOf, false, std::nullopt};
   if (m_Bounds.m_KeepsExpired &&
-      showsReturn(m_Instances, m_HasListFailed, now()))
+      showsStoreReturn(m_Instances, m_HasListFailed, now()))
     Times.m_Returned = now();
   m_HasListFailed = false;
   // A newer list was received while this one was in transit.
@@ -175,7 +175,7 @@
 void FleetFollower::applyInstances(InstanceList Read) {
   if (m_Relay)
     m_Relay->hold(HeldInstances{Read, m_ReadRevision, m_Instances.asOf(),
-                                m_Expired.returnedLately(now())});
+                                m_Expired.recentReturn(now())});
   m_Read = std::move(Read);
   m_ReadFingerprint = fingerprintOf(m_Read);
   InstanceList Listed = m_Expired.complete(m_Read, m_Listed, now());
--- a/src/direct/fleet-news.cc
+++ b/src/direct/fleet-news.cc
@@ -25,7 +25,7 @@
 /// 0.25 s, and the list must arrive within half of the bound.
 constexpr int MaxHoldersAsked = 2;
 
-ToldReading readingIn(const auto &News, const NewsOrigin &From) {
+ReportedReading readingIn(const auto &News, const NewsOrigin &From) {
   return {milliseconds(News.age_ms()), From.m_Late, From.m_IsNear,
           News.is_relayed()};
 }
@@ -35,11 +35,11 @@
 wire::StoreNews FleetFollower::digest() {
   wire::StoreNews Out;
   // Stale state is left out: others would take it as confirmed by this entry.
-  if (knowsDeclaration() && !declarationBelief().m_IsUnsure)
+  if (knowsDeclaration() && !declarationBelief().m_IsUnconfirmed)
     m_Declarations.m_FillUpdate(Out);
   if (knowsWeights())
     m_WeightVersions.m_FillUpdate(Out);
-  if (!m_KnowsInstances || instancesBelief().m_IsUnsure)
+  if (!m_KnowsInstances || instancesBelief().m_IsUnconfirmed)
     return Out;
   wire::InstancesNews &Announced = *Out.mutable_instances();
   Announced.set_after(m_ReadFingerprint);
@@ -50,9 +50,9 @@
 }
 
 void FleetFollower::confirmIfCertain(SharedReading &Reading,
-                                     const ToldReading &Announced,
+                                     const ReportedReading &Announced,
                                      TimePoint Now) {
-  if (const auto AsOf = asOfTold(Announced, Now))
+  if (const auto AsOf = asOfReport(Announced, Now))
     Reading.confirm(*AsOf, Announced.m_IsRelayed);
 }
 
@@ -74,17 +74,17 @@
   if (News.version() < m_Version)
     return;
   SharedReading &Reading = m_Declarations.m_Reading;
-  Reading.noteTold(Now - From.m_Late);
+  Reading.noteReport(Now - From.m_Late);
   if (News.version() > m_Version) {
     const bool IsBetter = !m_Announced ||
                           News.version() > m_Announced->m_Version ||
                           (From.m_IsNear && !m_Announced->m_From.m_IsNear);
     if (IsBetter)
-      m_Announced = {News.version(), Revision{News.revision()},
-                     asOfTold(readingIn(News, From), Now).value_or(TimePoint{}),
-                     From};
+      m_Announced = {
+          News.version(), Revision{News.revision()},
+          asOfReport(readingIn(News, From), Now).value_or(TimePoint{}), From};
     Reading.noteBehind(Now,
-                       From.m_IsNear ? Duration::zero() : Reading.turnWait());
+                       From.m_IsNear ? Duration::zero() : Reading.rankDelay());
     m_NewestAnnounced = std::max(m_NewestAnnounced, News.version());
     m_NewestAnnouncedAt = Now;
     m_Declarations.m_Wake.cancel();
@@ -123,9 +123,10 @@
   const Revision At{News.revision()};
   if (At < m_ReadRevision)
     return;
-  m_Instances.noteTold(Now - From.m_Late);
-  const ToldReading Announced = readingIn(News, From);
-  ListTimes AsOf{asOfTold(Announced, Now), Announced.m_IsRelayed, std::nullopt};
+  m_Instances.noteReport(Now - From.m_Late);
+  const ReportedReading Announced = readingIn(News, From);
+  ListTimes AsOf{asOfReport(Announced, Now), Announced.m_IsRelayed,
+                 std::nullopt};
   if (News.has_returned_ms())
     AsOf.m_Returned = Now - milliseconds(News.returned_ms());
   if (m_KnowsInstances && m_ReadFingerprint == News.after())
@@ -143,9 +144,9 @@
 void FleetFollower::noteInstancesAnnounced(Revision At, const NewsOrigin &From,
                                            TimePoint Now) {
   m_InstanceHolders.note({From.m_Link, At, From.m_IsNear, Now});
-  m_Instances.noteBehind(Now, From.m_IsNear
-                                  ? ChangeTransitTime
-                                  : ChangeTransitTime + m_Instances.turnWait());
+  m_Instances.noteBehind(Now, From.m_IsNear ? ChangeTransitTime
+                                            : ChangeTransitTime +
+                                                  m_Instances.rankDelay());
   m_InstancesWake.cancel();
 }
 
--- a/src/direct/place-client.h
+++ b/src/direct/place-client.h
@@ -1,7 +1,7 @@
 // Asks an instance's agent whether a request may be sent to the instance.
 #pragma once
 
-#include "deckpitch/place-ledger.h"
+#include "deckpitch/slot-ledger.h"
 #include "direct/state-link.h"
 
 #include <boost/asio/awaitable.hpp>
--- a/src/kernel/engine-model.cc
+++ b/src/kernel/engine-model.cc
@@ -58,7 +58,7 @@
       DefaultPlannedShare * static_cast<double>(Objective.count()) -
       FirstTokenMs;
   const double Queued = std::clamp(SlackMs / std::max(IntervalMs, 0.001), 0.0,
-                                   MostQueuedShare * Slots);
+                                   MaxQueuedShare * Slots);
   return {Slots + std::floor(Queued), fromMs(IntervalMs)};
 }
 
--- a/src/kernel/entry-choice.cc
+++ b/src/kernel/entry-choice.cc
@@ -17,11 +17,11 @@
            randomWeight(For.m_Text, B.m_Id.m_Text);
   };
   std::sort(Candidates.begin(), Candidates.end(), Heavier);
-  const auto Near = std::find_if(
+  const auto Local = std::find_if(
       Candidates.begin(), Candidates.end(),
       [&](const EntryCandidate &Each) { return Each.m_DataCentre == In; });
-  if (Near != Candidates.end())
-    std::rotate(Candidates.begin(), Near, std::next(Near));
+  if (Local != Candidates.end())
+    std::rotate(Candidates.begin(), Local, std::next(Local));
   std::vector<InstanceId> Chosen;
   for (const EntryCandidate &Each : Candidates)
     if (Chosen.size() < Count)
--- a/src/kernel/instance-list.cc
+++ b/src/kernel/instance-list.cc
@@ -66,37 +66,37 @@
   return Out;
 }
 
-void LapsedInstances::storeReturned(TimePoint At) {
+void ExpiredInstances::storeReturned(TimePoint At) {
   if (At - m_Returned < ReregistrationTimeout)
     return;
   m_Returned = At;
   m_IsFirst = true;
 }
 
-std::optional<TimePoint> LapsedInstances::returnedLately(TimePoint Now) const {
+std::optional<TimePoint> ExpiredInstances::recentReturn(TimePoint Now) const {
   if (Now - m_Returned >= ReregistrationTimeout)
     return std::nullopt;
   return m_Returned;
 }
 
-InstanceList LapsedInstances::complete(InstanceList Read,
-                                       const InstanceList &Known,
-                                       TimePoint Now) {
+InstanceList ExpiredInstances::complete(InstanceList Read,
+                                        const InstanceList &Known,
+                                        TimePoint Now) {
   if (m_IsFirst)
-    m_Lapsed = Known;
+    m_Expired = Known;
   m_IsFirst = false;
   if (Now - m_Returned >= ReregistrationTimeout)
-    m_Lapsed.clear();
+    m_Expired.clear();
   std::set<std::string> Addresses;
   for (const auto &[Id, Each] : Read)
     Addresses.insert(Each.m_Address);
   // An instance whose address has passed to another incarnation is gone for
   // good.
-  std::erase_if(m_Lapsed, [&](const auto &Each) {
+  std::erase_if(m_Expired, [&](const auto &Each) {
     return Each.second.m_IsLeaving || Read.contains(Each.first) ||
            Addresses.contains(Each.second.m_Address);
   });
-  Read.insert(m_Lapsed.begin(), m_Lapsed.end());
+  Read.insert(m_Expired.begin(), m_Expired.end());
   return Read;
 }
 
--- a/src/kernel/instance-table.cc
+++ b/src/kernel/instance-table.cc
@@ -36,7 +36,7 @@
 /// Retrying sooner would meet the same requests. Together with the caller's own
 /// round trip, a longer delay leaves too little of an objective of 300 ms: with
 /// 60 to 90 ms, 1,707 of 2,291 retries that were served came after 290 ms.
-constexpr Duration LeastRetryAfter = std::chrono::milliseconds(25);
+constexpr Duration MinRetryAfter = std::chrono::milliseconds(25);
 /// Time for which an instance that is only listed may already be gone: the
 /// platform keeps an instance listed for three heartbeat intervals of 1.2 s,
 /// and the list is read every 0.75 s.
@@ -72,7 +72,7 @@
     const auto [At, IsNew] = m_Instances.try_emplace(Each.m_Id);
     Instance &Known = At->second;
     if (IsNew) {
-      Known.m_Heard = Now;
+      Known.m_LastActivity = Now;
       Known.m_ListedAt = Now;
     }
     const bool HasFreshReport =
@@ -146,8 +146,8 @@
   // The agent knows its own instance's link, but no process knows the link
   // between data centres, which weights may fill: requests arrived there 1.3 s
   // after they were sent.
-  const bool IsNear = Each.m_Listed.m_DataCentre == m_Own;
-  const bool IsSound = IsFresh && Each.m_HasSoundLink && IsNear;
+  const bool IsLocal = Each.m_Listed.m_DataCentre == m_Own;
+  const bool IsSound = IsFresh && Each.m_HasSoundLink && IsLocal;
   const Duration Grace =
       m_VersionBound - versionMargin(IsSound) - timeUntilBegin(Each, Now);
   return std::any_of(
@@ -165,7 +165,8 @@
 }
 
 std::optional<TimePoint>
-InstanceTable::beginBy(const InstanceId &Id, const std::string &Model) const {
+InstanceTable::latestBegin(const InstanceId &Id,
+                           const std::string &Model) const {
   const auto Found = m_Instances.find(Id);
   const auto Wanted = m_Wanted.find(Model);
   if (Found == m_Instances.end() || Wanted == m_Wanted.end())
@@ -268,7 +269,7 @@
     return !Query.m_Avoided.contains(Each->first);
   });
   if (Usable.empty() && EarliestBackOffEnd) {
-    Best.m_Outcome = ChoiceOutcome::Resting;
+    Best.m_Outcome = ChoiceOutcome::BackingOff;
     Best.m_RetryAfter = *EarliestBackOffEnd - Now;
     return Best;
   }
@@ -297,18 +298,18 @@
     Chosen = &Each;
     Best.m_Instance = Usable[I]->first;
     Best.m_Load = loadOf(Each, Now);
-    Best.m_Limit =
-        limitOf(Each, Query) + (isAsked(Each, Now) ? Query.m_AskedBeyond : 0);
+    Best.m_Limit = limitOf(Each, Query) +
+                   (needsAgentQuery(Each, Now) ? Query.m_AskedBeyond : 0);
   }
   Best.m_Address = Chosen->m_Listed.m_Address;
   if (Chosen->m_Reported)
     Best.m_ReportAge = Now - *Chosen->m_Reported;
   Best.m_Outcome =
       Best.m_Load < Best.m_Limit ? ChoiceOutcome::Chosen : ChoiceOutcome::Full;
-  Best.m_RetryAfter = LeastRetryAfter;
+  Best.m_RetryAfter = MinRetryAfter;
   if (const EngineProfile *Engine = engineOf(Query.m_Service))
     Best.m_RetryAfter =
-        std::max(LeastRetryAfter,
+        std::max(MinRetryAfter,
                  capacityOf(*Engine, Query.m_Objective).m_CompletionInterval /
                      static_cast<int>(Usable.size()));
   return Best;
@@ -320,11 +321,11 @@
     return;
   Instance &Known = Found->second;
   if (Known.m_Own++ == 0)
-    Known.m_Heard = Now;
+    Known.m_LastActivity = Now;
   ++Known.m_Unanswered;
 }
 
-void InstanceTable::answering(const InstanceId &Id) {
+void InstanceTable::answerStarted(const InstanceId &Id) {
   const auto Found = m_Instances.find(Id);
   if (Found != m_Instances.end())
     Found->second.m_Unanswered -= std::min(Found->second.m_Unanswered, 1U);
@@ -349,11 +350,11 @@
   return EjectedFor;
 }
 
-void InstanceTable::heard(const InstanceId &Id, TimePoint Now) {
+void InstanceTable::dataReceived(const InstanceId &Id, TimePoint Now) {
   const auto Found = m_Instances.find(Id);
   if (Found == m_Instances.end())
     return;
-  Found->second.m_Heard = Now;
+  Found->second.m_LastActivity = Now;
   Found->second.m_LastByte = Now;
   Found->second.m_IsConfirmed = true;
 }
@@ -386,20 +387,21 @@
   if (Found == m_Instances.end())
     return false;
   Instance &Known = Found->second;
-  const bool IsNews =
+  const bool IsChange =
       !Known.m_HasAnnouncedLeaving && !Known.m_Listed.m_IsLeaving;
   Known.m_HasAnnouncedLeaving = true;
-  return IsNews;
+  return IsChange;
 }
 
-bool InstanceTable::rest(const InstanceId &Id, TimePoint Until, TimePoint Now) {
+bool InstanceTable::backOff(const InstanceId &Id, TimePoint Until,
+                            TimePoint Now) {
   const auto Found = m_Instances.find(Id);
   if (Found == m_Instances.end())
     return false;
   TimePoint &RestsUntil = Found->second.m_BackOffUntil;
-  const bool IsNews = RestsUntil <= Now;
+  const bool IsChange = RestsUntil <= Now;
   RestsUntil = std::max(RestsUntil, Until);
-  return IsNews;
+  return IsChange;
 }
 
 void InstanceTable::replaced(const InstanceId &Id) {
@@ -412,7 +414,7 @@
                                                  TimePoint Now) const {
   std::vector<InstanceId> Out;
   for (const auto &[Id, Each] : m_Instances)
-    if (Each.m_Own > 0 && Now - Each.m_Heard > Length)
+    if (Each.m_Own > 0 && Now - Each.m_LastActivity > Length)
       Out.push_back(Id);
   return Out;
 }
@@ -430,26 +432,26 @@
 
 bool InstanceTable::isConfirmed(const InstanceId &Id, TimePoint Now) const {
   const auto Found = m_Instances.find(Id);
-  return Found != m_Instances.end() && lives(Found->second, Now);
+  return Found != m_Instances.end() && isAlive(Found->second, Now);
 }
 
 /// Returns whether the instance is alive as far as is known; see isConfirmed().
-bool InstanceTable::lives(const Instance &Each, TimePoint Now) const {
+bool InstanceTable::isAlive(const Instance &Each, TimePoint Now) const {
   return Each.m_IsConfirmed || !engineOf(Each.m_Listed.m_Service) ||
          Now - Each.m_ListedAt >= UnconfirmedTimeout;
 }
 
-bool InstanceTable::isAsked(const Instance &Each, TimePoint Now) const {
+bool InstanceTable::needsAgentQuery(const Instance &Each, TimePoint Now) const {
   const bool IsFresh =
       Each.m_Reported && Now - *Each.m_Reported < ReportLifetime;
-  return engineOf(Each.m_Listed.m_Service) && (IsFresh || !lives(Each, Now));
+  return engineOf(Each.m_Listed.m_Service) && (IsFresh || !isAlive(Each, Now));
 }
 
 std::optional<PlaceQuery> InstanceTable::placeQuery(const InstanceId &Id,
                                                     const ChoiceQuery &Query,
                                                     TimePoint Now) const {
   const auto Found = m_Instances.find(Id);
-  if (Found == m_Instances.end() || !isAsked(Found->second, Now))
+  if (Found == m_Instances.end() || !needsAgentQuery(Found->second, Now))
     return std::nullopt;
   const auto Share = m_PlannedShares.find(Query.m_Service);
   const double Planned = Share == m_PlannedShares.end() ? PlannedShare().value()
@@ -485,7 +487,7 @@
   return Out;
 }
 
-std::vector<InstanceId> InstanceTable::supersededWithRequests() const {
+std::vector<InstanceId> InstanceTable::replacedWithRequests() const {
   std::vector<InstanceId> Out;
   for (const auto &[Id, Each] : m_Instances) {
     const auto Now = m_ByAddress.find(Each.m_Listed.m_Address);
--- a/src/kernel/membership-table.cc
+++ b/src/kernel/membership-table.cc
@@ -65,28 +65,28 @@
 void MembershipTable::setSelf(Member Self, std::uint64_t Sequence) {
   Known &Own = m_Known[m_SelfId];
   if (isWorthSending(Own.m_Record.m_Member, Self))
-    Own.m_Told = 0;
+    Own.m_TimesSent = 0;
   Own.m_Record.m_Member = std::move(Self);
   Own.m_Record.m_Sequence = Sequence;
 }
 
-bool MembershipTable::take(TimePoint Now, const MemberRecord &Record,
-                           MemberSource Source) {
+bool MembershipTable::apply(TimePoint Now, const MemberRecord &Record,
+                            MemberSource Source) {
   const auto [At, Added] = m_Known.try_emplace(Record.m_Member.m_Id);
   Known &Of = At->second;
   const Member Old = Of.m_Record.m_Member;
   const bool IsSameIncarnation =
       !Added && Old.m_Incarnation == Record.m_Member.m_Incarnation;
-  const bool Leaves = Record.m_Member.m_State == MemberState::Leaving;
+  const bool IsLeaving = Record.m_Member.m_State == MemberState::Leaving;
   const bool Newer = Added || supersedes(Record, Of.m_Record);
-  if (!Newer && !(IsSameIncarnation && Leaves && !Of.m_Leaving))
+  if (!Newer && !(IsSameIncarnation && IsLeaving && !Of.m_Leaving))
     return false;
-  Of.m_Leaving = (IsSameIncarnation && Of.m_Leaving) || Leaves;
+  Of.m_Leaving = (IsSameIncarnation && Of.m_Leaving) || IsLeaving;
   if (Newer) {
     const bool Fresh = Record.m_Sequence > Of.m_Record.m_Sequence;
     Of.m_Record = Record;
     if (Added || !IsSameIncarnation || Fresh) {
-      Of.m_Heard = Now;
+      Of.m_LastUpdate = Now;
       Of.m_HasAsked = false;
     }
   }
@@ -95,17 +95,19 @@
     Current.m_State = MemberState::Leaving;
   Current.m_Source = Source;
   if (Added || isWorthSending(Old, Current))
-    Of.m_Told = 0;
+    Of.m_TimesSent = 0;
   return true;
 }
 
-bool MembershipTable::heard(TimePoint Now, const MemberRecord &Record) {
+bool MembershipTable::receiveHeartbeat(TimePoint Now,
+                                       const MemberRecord &Record) {
   if (Record.m_Member.m_Id == m_SelfId)
     return false;
-  return take(Now, Record, MemberSource::Heartbeat);
+  return apply(Now, Record, MemberSource::Heartbeat);
 }
 
-bool MembershipTable::heardShort(TimePoint Now, const Heartbeat &Short) {
+bool MembershipTable::receiveShortHeartbeat(TimePoint Now,
+                                            const Heartbeat &Short) {
   const auto At = m_Known.find(Short.m_Id);
   if (At == m_Known.end())
     return false;
@@ -116,13 +118,13 @@
   Record.m_Member.m_InForce = Short.m_InForce;
   Record.m_Member.m_Load = Short.m_Load;
   Record.m_Member.m_State = MemberState::Alive;
-  take(Now, Record, MemberSource::Heartbeat);
+  apply(Now, Record, MemberSource::Heartbeat);
   return true;
 }
 
 bool MembershipTable::merge(TimePoint Now, const MemberRecord &Record) {
   if (Record.m_Member.m_Id != m_SelfId)
-    return take(Now, Record, MemberSource::Entry);
+    return apply(Now, Record, MemberSource::Entry);
   Known &Own = m_Known[m_SelfId];
   const bool IsOwnIncarnation =
       Record.m_Member.m_Incarnation == Own.m_Record.m_Member.m_Incarnation;
@@ -130,7 +132,7 @@
   if (!IsOwnIncarnation || !Wrong)
     return false;
   // The next heartbeat has a newer sequence and refutes the record.
-  Own.m_Told = 0;
+  Own.m_TimesSent = 0;
   return true;
 }
 
@@ -159,7 +161,7 @@
       continue;
     Of.m_Record.m_Member.m_State = MemberState::Leaving;
     Of.m_Record.m_Member.m_Source = MemberSource::Platform;
-    Of.m_Told = 0;
+    Of.m_TimesSent = 0;
   }
 }
 
@@ -178,16 +180,17 @@
   return chooseEntries(Watched.m_Id, Watched.m_DataCentre, entries());
 }
 
-void MembershipTable::judge(TimePoint Now, Known &Of,
-                            std::vector<SilenceQuestion> &Out) {
+void MembershipTable::updateSilence(TimePoint Now, Known &Of,
+                                    std::vector<SilenceQuestion> &Out) {
   Member &Judged = Of.m_Record.m_Member;
   const std::vector<InstanceId> Watchers = watchersOf(Judged);
   const bool Watched =
       std::find(Watchers.begin(), Watchers.end(), m_SelfId) != Watchers.end();
   if (Watched && !Of.m_IsWatchedHere)
-    Of.m_Heard = std::max(Of.m_Heard, Now); // this entry begins to watch it now
+    Of.m_LastUpdate =
+        std::max(Of.m_LastUpdate, Now); // this entry begins to watch it now
   Of.m_IsWatchedHere = Watched;
-  const Duration Silence = Now - Of.m_Heard;
+  const Duration Silence = Now - Of.m_LastUpdate;
   if (!Watched || Silence < m_Limits.m_SuspectAfter)
     return;
   if (!Of.m_HasAsked) {
@@ -208,14 +211,14 @@
     return;
   Judged.m_State = Next;
   Judged.m_Source = MemberSource::Silence;
-  Of.m_Told = 0;
+  Of.m_TimesSent = 0;
 }
 
 std::vector<SilenceQuestion> MembershipTable::tick(TimePoint Now) {
   std::vector<SilenceQuestion> Questions;
   for (auto &[Id, Of] : m_Known)
     if (Id != m_SelfId && Of.m_Record.m_Member.m_State != MemberState::Gone)
-      judge(Now, Of, Questions);
+      updateSilence(Now, Of, Questions);
   dropGone(Now);
   return Questions;
 }
@@ -224,23 +227,24 @@
   std::erase_if(m_Known, [&](const auto &Each) {
     const Known &Of = Each.second;
     return Of.m_Record.m_Member.m_State == MemberState::Gone &&
-           Now - Of.m_Heard > GoneRetention;
+           Now - Of.m_LastUpdate > GoneRetention;
   });
 }
 
 std::vector<MemberRecord> MembershipTable::takeChanges(std::size_t Most) {
   std::vector<Known *> Untold;
   for (auto &[Id, Of] : m_Known)
-    if (Of.m_Told < SendsPerChange)
+    if (Of.m_TimesSent < SendsPerChange)
       Untold.push_back(&Of);
-  std::stable_sort(
-      Untold.begin(), Untold.end(),
-      [](const Known *A, const Known *B) { return A->m_Told < B->m_Told; });
+  std::stable_sort(Untold.begin(), Untold.end(),
+                   [](const Known *A, const Known *B) {
+                     return A->m_TimesSent < B->m_TimesSent;
+                   });
   std::vector<MemberRecord> Taken;
   for (Known *Of : Untold) {
     if (Taken.size() == Most)
       break;
-    ++Of->m_Told;
+    ++Of->m_TimesSent;
     Taken.push_back(Of->m_Record);
   }
   return Taken;
@@ -258,7 +262,7 @@
   return At == m_Known.end() ? nullptr : &At->second.m_Record;
 }
 
-Incarnation MembershipTable::leavingLife(const InstanceId &Id) const {
+Incarnation MembershipTable::leavingIncarnation(const InstanceId &Id) const {
   const auto At = m_Known.find(Id);
   if (At == m_Known.end() || !At->second.m_Leaving)
     return {};
--- a/src/kernel/peer-set.cc
+++ b/src/kernel/peer-set.cc
@@ -39,27 +39,27 @@
   const auto Self = Members.m_Members.find(Asker);
   if (Self == Members.m_Members.end())
     return {};
-  std::vector<const Member *> Near;
-  std::vector<const Member *> Far;
+  std::vector<const Member *> Local;
+  std::vector<const Member *> Remote;
   for (const auto &[Id, Each] : Members.m_Members) {
     if (Id == Asker || !isReachable(Each) ||
         !holds(Declarations, Each, Weights))
       continue;
-    const bool IsNear = Each.m_DataCentre == Self->second.m_DataCentre;
-    (IsNear ? Near : Far).push_back(&Each);
+    const bool IsLocal = Each.m_DataCentre == Self->second.m_DataCentre;
+    (IsLocal ? Local : Remote).push_back(&Each);
   }
   std::mt19937_64 Random(Seed ^ std::hash<InstanceId>{}(Asker));
-  std::shuffle(Near.begin(), Near.end(), Random);
-  std::shuffle(Far.begin(), Far.end(), Random);
+  std::shuffle(Local.begin(), Local.end(), Random);
+  std::shuffle(Remote.begin(), Remote.end(), Random);
   const std::size_t Crossings =
-      std::min<std::size_t>(Far.size(), std::max(1U, Count / CrossingShare));
+      std::min<std::size_t>(Remote.size(), std::max(1U, Count / CrossingShare));
   const std::size_t Inner =
-      std::min<std::size_t>(Near.size(), Count - Crossings);
-  const std::size_t Outer = std::min<std::size_t>(Far.size(), Count - Inner);
-  Near.resize(Inner);
-  Far.resize(Outer);
-  Near.insert(Near.end(), Far.begin(), Far.end());
-  return Near;
+      std::min<std::size_t>(Local.size(), Count - Crossings);
+  const std::size_t Outer = std::min<std::size_t>(Remote.size(), Count - Inner);
+  Local.resize(Inner);
+  Remote.resize(Outer);
+  Local.insert(Local.end(), Remote.begin(), Remote.end());
+  return Local;
 }
 
 } // namespace deckpitch
--- a/src/kernel/place-ledger.cc
+++ b/src/kernel/slot-ledger.cc
@@ -1,4 +1,4 @@
-#include "deckpitch/place-ledger.h"
+#include "deckpitch/slot-ledger.h"
 
 #include <algorithm>
 
@@ -12,7 +12,7 @@
 
 } // namespace
 
-void PlaceLedger::reported(std::uint32_t Held, TimePoint Now) {
+void SlotLedger::reported(std::uint32_t Held, TimePoint Now) {
   m_Reported = Held;
   while (!m_PendingGrants.empty() &&
          Now - m_PendingGrants.front() > ReportDelay)
@@ -21,12 +21,12 @@
     m_PassEnd = std::min(m_PassEnd, Now);
 }
 
-std::uint32_t PlaceLedger::held() const {
+std::uint32_t SlotLedger::held() const {
   return m_Reported + static_cast<std::uint32_t>(m_PendingGrants.size());
 }
 
 /// Advances the state to the pass that is current at Now.
-void PlaceLedger::advance(Duration WriteTime, TimePoint Now) {
+void SlotLedger::advance(Duration WriteTime, TimePoint Now) {
   if (m_PassEnd <= Now && m_NextReadTime > Duration::zero()) {
     m_PassEnd += WriteTime + m_NextReadTime;
     m_NextReadTime = {};
@@ -42,11 +42,11 @@
   m_PassEnd = IsIdle ? Now : Now + WriteTime - (Now - m_PassEnd) % WriteTime;
 }
 
-bool PlaceLedger::grant(const PlaceQuery &Query, TimePoint Now,
-                        TimePoint Closes) {
+bool SlotLedger::grant(const PlaceQuery &Query, TimePoint Now,
+                       TimePoint Closes) {
   const double Slots = std::max(1U, Query.m_Slots);
   const double Queued = std::max(0.0, held() + 1 + Query.m_Reserve - Slots);
-  if (Queued > MostQueuedShare * Slots)
+  if (Queued > MaxQueuedShare * Slots)
     return false;
   advance(Query.m_WriteTime, Now);
   const Duration ForSlot(static_cast<Duration::rep>(
--- a/src/kernel/state-batch.cc
+++ b/src/kernel/state-batch.cc
@@ -53,10 +53,10 @@
   return Bytes;
 }
 
-bool isValid(const StateBatch &Told) {
+bool isValid(const StateBatch &Batch) {
   const bool Fits =
-      Told.m_States.size() <= 1 || estimatedBytes(Told) <= MaxBatchBytes;
-  return Told.m_Format == StateBatchFormat && Fits;
+      Batch.m_States.size() <= 1 || estimatedBytes(Batch) <= MaxBatchBytes;
+  return Batch.m_Format == StateBatchFormat && Fits;
 }
 
 std::vector<StateBatch> inBatches(const DataCentreId &Of,
--- a/src/kernel/state-rounds.cc
+++ b/src/kernel/state-rounds.cc
@@ -21,9 +21,9 @@
                            TimePoint Then) {
   const auto Hash = XXH64(Address.data(), Address.size(), 0);
   const auto Offset = static_cast<Duration::rep>(
-      Hash % static_cast<std::uint64_t>(RepeatSpan.count()));
-  return (Then.time_since_epoch() + RepeatSpan - Duration(Offset) + Shift) /
-         RepeatSpan;
+      Hash % static_cast<std::uint64_t>(RepeatInterval.count()));
+  return (Then.time_since_epoch() + RepeatInterval - Duration(Offset) + Shift) /
+         RepeatInterval;
 }
 
 } // namespace
@@ -36,7 +36,7 @@
   for (auto &[Along, Each] : m_Channels) {
     updateTargets(Along, Each, Now);
     if (!Each.m_Targets.empty())
-      tell(Along, Each, Now, Out);
+      addDueBatches(Along, Each, Now, Out);
   }
   return Out;
 }
@@ -53,7 +53,7 @@
     return;
   for (const auto &[Address, Each] : m_Instances)
     if (Each.m_DataCentre == Along.m_Of)
-      To.m_Behind.insert(Address);
+      To.m_Pending.insert(Address);
 }
 
 std::vector<InstanceId> StateSpread::targetsOf(const Path &Along,
@@ -116,37 +116,37 @@
 void StateSpread::addRepeats(const Path &Along, Channel &To,
                              TimePoint Now) const {
   const auto Rank = static_cast<Duration::rep>(m_Rank.value_or(0));
-  const Duration Shift = RepeatSpan * Rank / RelaysPerDataCentre;
+  const Duration Shift = RepeatInterval * Rank / RelaysPerDataCentre;
   for (const auto &[Address, Each] : m_Instances)
     if (Each.m_DataCentre == Along.m_Of &&
         repeatsUntil(Address, Shift, To.m_RepeatedUntil) !=
             repeatsUntil(Address, Shift, Now))
-      To.m_Behind.insert(Address);
+      To.m_Pending.insert(Address);
   To.m_RepeatedUntil = Now;
 }
 
 /// Adds what is due on a path to the batches to send. A round of the own states
 /// is sent even if it is empty: a receiver detects by its absence that the
 /// relay or the path is gone.
-void StateSpread::tell(const Path &Along, Channel &To, TimePoint Now,
-                       std::vector<StateSend> &Out) const {
+void StateSpread::addDueBatches(const Path &Along, Channel &To, TimePoint Now,
+                                std::vector<StateSend> &Out) const {
   const bool IsRound = Now >= To.m_NextRound;
   if (IsRound)
     addRepeats(Along, To, Now);
-  std::set<std::string> &Addresses = IsRound ? To.m_Behind : To.m_Urgent;
+  std::set<std::string> &Addresses = IsRound ? To.m_Pending : To.m_Urgent;
   std::vector<StateBatch> Batches =
       inBatches(Along.m_Of, statesFor(Addresses, Now));
   const bool IsOwn = Along.m_Of == m_Own.m_DataCentre;
   if (IsRound && IsOwn && Batches.empty())
     Batches.push_back({StateBatchFormat, Along.m_Of, {}});
   if (IsRound && !Batches.empty())
-    To.m_NextRound =
-        Now + (Along.m_To == m_Own.m_DataCentre ? LocalInterval : FarSpan);
+    To.m_NextRound = Now + (Along.m_To == m_Own.m_DataCentre ? LocalInterval
+                                                             : RemoteInterval);
   for (const std::string &Each : To.m_Urgent)
-    To.m_Behind.erase(Each);
+    To.m_Pending.erase(Each);
   To.m_Urgent.clear();
   if (IsRound)
-    To.m_Behind.clear();
+    To.m_Pending.clear();
   for (StateBatch &Each : Batches)
     Out.push_back({To.m_Targets, std::move(Each)});
 }
--- a/src/kernel/state-spread.cc
+++ b/src/kernel/state-spread.cc
@@ -112,7 +112,7 @@
   return Found == m_Relays.end() ? None : Found->second;
 }
 
-bool StateSpread::isNear(const InstanceId &Entry) const {
+bool StateSpread::isLocal(const InstanceId &Entry) const {
   const auto Found = m_Live.find(Entry);
   return Found != m_Live.end() && Found->second == m_Own.m_DataCentre;
 }
@@ -124,28 +124,29 @@
   return Found == m_Live.end() || Found->second == Of;
 }
 
-void StateSpread::receiveReport(const SpreadState &Said, TimePoint Now,
+void StateSpread::receiveReport(const SpreadState &State, TimePoint Now,
                                 Duration Late) {
-  const auto Found = m_Instances.find(Said.m_Address);
+  const auto Found = m_Instances.find(State.m_Address);
   if (Found == m_Instances.end() || Late > MaxStateAge)
     return void(++m_Refused);
   Instance &About = Found->second;
-  const ReportChange Change = learn(About, {Said, Now - Late}, Now);
+  const ReportChange Change = update(About, {State, Now - Late}, Now);
   if (About.m_DataCentre != m_Own.m_DataCentre)
     return; // The relays of its own data centre pass it on.
-  markLocal(About.m_DataCentre, Said.m_Address, Change);
-  markRemote(Said.m_Address, Change);
+  markLocal(About.m_DataCentre, State.m_Address, Change);
+  markRemote(State.m_Address, Change);
 }
 
-void StateSpread::receiveBatch(const InstanceId &From, const StateBatch &Told,
-                               TimePoint Now, Duration Late) {
-  if (!isValid(Told)) {
-    m_Refused += std::max<std::size_t>(Told.m_States.size(), 1);
+void StateSpread::receiveBatch(const InstanceId &From,
+                               const StateBatch &Received, TimePoint Now,
+                               Duration Late) {
+  if (!isValid(Received)) {
+    m_Refused += std::max<std::size_t>(Received.m_States.size(), 1);
     return;
   }
-  noteSender(From, Told.m_Of, Now);
-  for (const AgedState &Each : Told.m_States)
-    receiveState(From, Told.m_Of, Each, Now, Late);
+  noteSender(From, Received.m_Of, Now);
+  for (const AgedState &Each : Received.m_States)
+    receiveState(From, Received.m_Of, Each, Now, Late);
 }
 
 void StateSpread::noteSender(const InstanceId &From, const DataCentreId &Of,
@@ -156,11 +157,11 @@
     };
     const auto Others =
         std::count_if(m_RemoteSenders.begin(), m_RemoteSenders.end(), IsOfSame);
-    if (maySendFor(From, Of) && !isNear(From) && Others < MaxOtherSenders)
+    if (maySendFor(From, Of) && !isLocal(From) && Others < MaxOtherSenders)
       m_RemoteSenders[From] = {Of, Now};
     return;
   }
-  if (!isNear(From) || From == m_Own.m_Id)
+  if (!isLocal(From) || From == m_Own.m_Id)
     return;
   if (m_LastRelayBatch && Now - *m_LastRelayBatch >= RelayTimeout)
     m_DirectReportsUntil =
@@ -169,42 +170,43 @@
 }
 
 void StateSpread::receiveState(const InstanceId &From, const DataCentreId &Of,
-                               const AgedState &Told, TimePoint Now,
+                               const AgedState &Received, TimePoint Now,
                                Duration Late) {
-  const auto Found = m_Instances.find(Told.m_State.m_Address);
+  const auto Found = m_Instances.find(Received.m_State.m_Address);
   if (Found == m_Instances.end() || Found->second.m_DataCentre != Of ||
-      !isUsableAge(Told.m_Age, Late))
+      !isUsableAge(Received.m_Age, Late))
     return void(++m_Refused);
-  const Duration Age = Told.m_Age + Late;
+  const Duration Age = Received.m_Age + Late;
   const ReportChange Change =
-      learn(Found->second, {Told.m_State, Now - Age}, Now);
+      update(Found->second, {Received.m_State, Now - Age}, Now);
   // Another relay of the own data centre sends it to the entries here itself.
   if (Of == m_Own.m_DataCentre)
-    return isNear(From) ? markRemote(Told.m_State.m_Address, Change) : void();
-  if (!isNear(From))
-    markLocal(Of, Told.m_State.m_Address, Change);
+    return isLocal(From) ? markRemote(Received.m_State.m_Address, Change)
+                         : void();
+  if (!isLocal(From))
+    markLocal(Of, Received.m_State.m_Address, Change);
 }
 
 /// Stores the state if it is newer, and returns what it changes.
-ReportChange StateSpread::learn(Instance &About, const KnownState &Told,
-                                TimePoint Now) {
+ReportChange StateSpread::update(Instance &About, const KnownState &Received,
+                                 TimePoint Now) {
   std::optional<KnownState> &Known = About.m_Known;
   if (!Known) {
-    Known = Told;
+    Known = Received;
     return ReportChange::Plain;
   }
   const ReportOrder &Before = Known->m_Latest.m_Order;
-  const ReportOrder &Order = Told.m_Latest.m_Order;
+  const ReportOrder &Order = Received.m_Latest.m_Order;
   if (Order == Before)
-    Known->m_AsOf = std::min(Known->m_AsOf, Told.m_AsOf);
+    Known->m_AsOf = std::min(Known->m_AsOf, Received.m_AsOf);
   const bool IsGone = Order.m_Incarnation != Before.m_Incarnation &&
                       Now - Known->m_AsOf > MaxStateAge;
   if (Order == Before || (Order < Before && !IsGone))
     return ReportChange::None;
   const ReportChange Change =
       changeOf({Known->m_Latest.m_Report, Known->m_AsOf},
-               {Told.m_Latest.m_Report, Told.m_AsOf});
-  Known = Told;
+               {Received.m_Latest.m_Report, Received.m_AsOf});
+  Known = Received;
   return Change;
 }
 
@@ -213,7 +215,7 @@
   const auto Found = m_Channels.find({Of, m_Own.m_DataCentre});
   if (Found == m_Channels.end() || Change == ReportChange::None)
     return;
-  Found->second.m_Behind.insert(Address);
+  Found->second.m_Pending.insert(Address);
   if (Change == ReportChange::Urgent)
     Found->second.m_Urgent.insert(Address);
 }
@@ -224,7 +226,7 @@
   for (auto &[Along, Each] : m_Channels) {
     if (Along.m_To == m_Own.m_DataCentre)
       continue;
-    Each.m_Behind.insert(Address);
+    Each.m_Pending.insert(Address);
     if (Change == ReportChange::Urgent)
       Each.m_Urgent.insert(Address);
   }
--- a/support/fuzz/link-target.cc
+++ b/support/fuzz/link-target.cc
@@ -97,7 +97,7 @@
 
 /// All that can be asked of it without a change.
 auto stateOf(const EntryPeers &Peers, TimePoint Now) {
-  const ReadingTurn Turn = Peers.ownTurn(Now);
+  const ReadRank Turn = Peers.ownTurn(Now);
   return std::make_tuple(
       Peers.liveCount(Now), Peers.group(Now, NewsReach::All),
       Peers.group(Now, NewsReach::Near), Turn.m_All, Turn.m_Near,
--- a/support/fuzz/link-times-target.cc
+++ b/support/fuzz/link-times-target.cc
@@ -1,8 +1,8 @@
 // Times in messages between entries and agents: whatever they say, reckoning
 // with them is defined.
 #include "deckpitch/link-delay.h"
-#include "deckpitch/place-ledger.h"
 #include "deckpitch/shared-reading.h"
+#include "deckpitch/slot-ledger.h"
 #include "direct/place-client.h"
 #include "fuzz/check.h"
 #include "fuzz/link-messages.h"
@@ -30,12 +30,12 @@
       Delay.note(Message.incarnation(), microseconds(Message.sent_us()), Now);
   require(Late >= Duration::zero(), "nothing comes before the quickest");
   const wire::WeightsNews &News = Message.news().weights();
-  const auto AsOf = asOfTold(
+  const auto AsOf = asOfReport(
       {milliseconds(News.age_ms()), Late, true, News.is_relayed()}, Now);
   require(!AsOf || *AsOf <= Now, "nothing is told from the future");
 }
 
-void checkQuestion(PlaceLedger &Places, const wire::PlaceQuery &Asked,
+void checkQuestion(SlotLedger &Places, const wire::PlaceQuery &Asked,
                    TimePoint Now) {
   const PlaceQuery Query = direct::read(Asked);
   require(std::min({Query.m_CompletionInterval, Query.m_ReadTime,
@@ -57,7 +57,7 @@
 
 void fuzzLinkTimes(Bytes Input) {
   LinkDelay Delay;
-  PlaceLedger Places;
+  SlotLedger Places;
   TimePoint Now = Begin;
   for (const wire::LinkMessage &Message : messagesIn(Input)) {
     checkAge(Delay, Message, Now);
--- a/support/measure/measure-load-age.cc
+++ b/support/measure/measure-load-age.cc
@@ -2,7 +2,7 @@
 // entries, in virtual time, with the agents' own answers.
 #include "deckpitch/engine-model.h"
 #include "deckpitch/instance-table.h"
-#include "deckpitch/place-ledger.h"
+#include "deckpitch/slot-ledger.h"
 
 #include <algorithm>
 #include <cstdint>
@@ -90,7 +90,7 @@
   InstanceId m_Id;
   std::string m_Address;
   std::size_t m_DataCentre = 0;
-  PlaceLedger m_Places;
+  SlotLedger m_Places;
   std::uint32_t m_Held = 0;
   /// What it held, by its looks.
   std::vector<std::uint32_t> m_Looks;
@@ -265,7 +265,7 @@
     at(m_Now + Way, [&At] { ++At.m_Held; });
     const Duration Takes = streamTime(profile(), Size);
     at(m_Now + Way + Objective / 2,
-       [&Entry, &At] { Entry.m_Table.answering(At.m_Id); });
+       [&Entry, &At] { Entry.m_Table.answerStarted(At.m_Id); });
     at(m_Now + Way + Takes, [this, &Entry, &At] {
       --At.m_Held;
       Entry.m_Table.ended(At.m_Id, InstanceTable::End::Good, true, m_Now);
--- a/support/simulation/spread-faults.cc
+++ b/support/simulation/spread-faults.cc
@@ -62,7 +62,7 @@
   tickEntry(Which);
   std::vector<Waiting> Waited = std::exchange(Each.m_Waiting, {});
   for (const Waiting &Datagram : Waited)
-    readAt(Which, Datagram.m_Read, m_Now - Datagram.m_Came);
+    readAt(Which, Datagram.m_Read, m_Now - Datagram.m_Arrived);
   refreshView(Which);
   refreshViewsSoon();
 }
@@ -134,23 +134,23 @@
 void SpreadNetwork::sample(SpreadAges &Into) const {
   for (std::size_t At = 0; At < m_Entries.size(); ++At) {
     for (std::size_t Of = 0; Of < m_Agents.size(); ++Of) {
-      const Agent &Said = m_Agents[Of];
+      const Agent &State = m_Agents[Of];
       if (!m_Entries[At].m_IsAlive || m_Entries[At].m_IsPaused ||
-          !Said.m_IsAlive)
+          !State.m_IsAlive)
         continue;
       const auto Known = knownAt(At, Of);
       const bool IsPresent = Known && Known->m_Latest.m_Order.m_Incarnation ==
-                                          Said.m_Now.m_Order.m_Incarnation;
+                                          State.m_Now.m_Order.m_Incarnation;
       Duration Age = m_Now - m_Start;
       if (IsPresent) {
         const TimePoint SaidAt =
-            Said.m_ReportedAt.at(Known->m_Latest.m_Order.m_Sequence);
+            State.m_ReportedAt.at(Known->m_Latest.m_Order.m_Sequence);
         Age = m_Now - SaidAt;
         Into.m_MaxAgeError =
             std::max(Into.m_MaxAgeError, Known->m_AsOf - SaidAt);
       }
-      const bool IsNear = dataCentreOf(At) == dataCentreOf(Of);
-      (IsNear ? Into.m_Near : Into.m_Far).push_back(Age);
+      const bool IsLocal = dataCentreOf(At) == dataCentreOf(Of);
+      (IsLocal ? Into.m_Local : Into.m_Remote).push_back(Age);
     }
   }
 }
--- a/support/simulation/spread-network.cc
+++ b/support/simulation/spread-network.cc
@@ -13,10 +13,10 @@
 namespace {
 
 /// Interval at which an entry is polled for due batches.
-constexpr Duration TickSpan = milliseconds(10);
+constexpr Duration TickInterval = milliseconds(10);
 /// Intervals of agents: between two inspections, and until an unchanged state
 /// is reported again.
-constexpr Duration LookSpan = milliseconds(50);
+constexpr Duration InspectionInterval = milliseconds(50);
 constexpr Duration RepeatReportInterval = milliseconds(240);
 /// Interval of hellos to agents, and the time for which an agent reports after
 /// one.
@@ -75,7 +75,8 @@
     m_Entries[I].m_Spread = freshSpread(I);
     refreshView(I);
   }
-  std::uniform_int_distribution<Duration::rep> Phase(0, LookSpan.count());
+  std::uniform_int_distribution<Duration::rep> Phase(
+      0, InspectionInterval.count());
   for (std::size_t I = 0; I < m_Agents.size(); ++I)
     at(m_Now + Duration(Phase(m_Random)), [this, I] { inspect(I); });
   for (std::size_t I = 0; I < m_Entries.size(); ++I)
@@ -190,12 +191,12 @@
   if (!Each.m_IsAlive || Each.m_IsPaused)
     return;
   const bool Wants = Each.m_Spread->wantsReports(m_Now);
-  if (Wants && (!Each.m_Wanted || m_Now >= Each.m_NextHello))
+  if (Wants && (!Each.m_WantedReports || m_Now >= Each.m_NextHello))
     hello(Which);
-  Each.m_Wanted = Wants;
+  Each.m_WantedReports = Wants;
   for (const StateSend &Send : Each.m_Spread->due(m_Now))
     sendBatch(Which, Send);
-  at(m_Now + TickSpan, [this, Which] { tickEntry(Which); });
+  at(m_Now + TickInterval, [this, Which] { tickEntry(Which); });
 }
 
 void SpreadNetwork::hello(std::size_t From) {
@@ -243,30 +244,30 @@
   if (!Each.m_IsAlive)
     return;
   step(Each.m_Now.m_Report);
-  const bool IsChanged = Each.m_Now.m_Report != Each.m_Told;
+  const bool IsChanged = Each.m_Now.m_Report != Each.m_LastReported;
   m_Counts.m_Changes += IsChanged ? 1 : 0;
-  if (IsChanged || m_Now - Each.m_ToldAt >= RepeatReportInterval)
+  if (IsChanged || m_Now - Each.m_LastReportedAt >= RepeatReportInterval)
     report(Which);
-  at(m_Now + LookSpan, [this, Which] { inspect(Which); });
+  at(m_Now + InspectionInterval, [this, Which] { inspect(Which); });
 }
 
 void SpreadNetwork::report(std::size_t From) {
   Agent &Each = m_Agents[From];
-  Each.m_Told = Each.m_Now.m_Report;
-  Each.m_ToldAt = m_Now;
+  Each.m_LastReported = Each.m_Now.m_Report;
+  Each.m_LastReportedAt = m_Now;
   Each.m_Now.m_Order.m_Sequence = Each.m_ReportedAt.size();
   Each.m_ReportedAt.push_back(m_Now);
-  const auto Said = std::make_shared<const SpreadState>(Each.m_Now);
-  const std::size_t Bytes = estimatedBytes(*Said) + HeaderBytes;
+  const auto State = std::make_shared<const SpreadState>(Each.m_Now);
+  const std::size_t Bytes = estimatedBytes(*State) + HeaderBytes;
   for (std::size_t To = 0; To < m_Entries.size(); ++To) {
-    std::optional<TimePoint> &Heard = Each.m_Listeners[To];
-    if (Heard && m_Now - *Heard > ReportingPeriod)
-      Heard.reset();
-    if (!Heard)
+    std::optional<TimePoint> &LastHello = Each.m_Listeners[To];
+    if (LastHello && m_Now - *LastHello > ReportingPeriod)
+      LastHello.reset();
+    if (!LastHello)
       continue;
     count(m_Counts.m_AgentsSent[From], Bytes);
-    toEntry(To, dataCentreOf(From), Bytes, [this, To, Said](Duration Late) {
-      m_Entries[To].m_Spread->receiveReport(*Said, m_Now, Late);
+    toEntry(To, dataCentreOf(From), Bytes, [this, To, State](Duration Late) {
+      m_Entries[To].m_Spread->receiveReport(*State, m_Now, Late);
     });
   }
 }
--- a/support/simulation/spread-network.h
+++ b/support/simulation/spread-network.h
@@ -56,8 +56,8 @@
 /// Ages of the states that entries know, of instances in their own data centre
 /// and in others. An unknown state is as old as the simulation.
 struct SpreadAges {
-  std::vector<Duration> m_Near;
-  std::vector<Duration> m_Far;
+  std::vector<Duration> m_Local;
+  std::vector<Duration> m_Remote;
   /// Maximum by which a state was older than its entry assumed.
   Duration m_MaxAgeError{};
 
@@ -134,7 +134,7 @@
   };
   /// A datagram that a paused process has not read yet.
   struct Waiting {
-    TimePoint m_Came;
+    TimePoint m_Arrived;
     std::function<void(Duration Late)> m_Read;
   };
   struct Entry {
@@ -143,15 +143,16 @@
     bool m_IsPaused = false;
     Absence m_Absence;
     std::vector<Waiting> m_Waiting;
-    bool m_Wanted = false; ///< whether it wanted reports when last polled
+    bool m_WantedReports =
+        false; ///< whether it wanted reports when last polled
     TimePoint m_NextHello{};
     ReportOrder m_Newest; ///< latest known order of the first agent
   };
   struct Agent {
     bool m_IsAlive = true;
     SpreadState m_Now;
-    InstanceReport m_Told;
-    TimePoint m_ToldAt{};
+    InstanceReport m_LastReported;
+    TimePoint m_LastReportedAt{};
     std::vector<std::optional<TimePoint>> m_Listeners; ///< last hello, by entry
     /// Report times of this incarnation, by sequence.
     std::vector<TimePoint> m_ReportedAt;
--- a/test/entry-peers-test.cc
+++ b/test/entry-peers-test.cc
@@ -86,14 +86,14 @@
   Entry &First = add("e1");
   Entry &Third = add("e3");
   run(2s);
-  EXPECT_EQ(First.m_Peers.ownTurn(m_Now), (ReadingTurn{0, 0}));
-  EXPECT_EQ(Second.m_Peers.ownTurn(m_Now), (ReadingTurn{1, 1}));
-  EXPECT_EQ(Third.m_Peers.ownTurn(m_Now), (ReadingTurn{2, 2}));
+  EXPECT_EQ(First.m_Peers.ownTurn(m_Now), (ReadRank{0, 0}));
+  EXPECT_EQ(Second.m_Peers.ownTurn(m_Now), (ReadRank{1, 1}));
+  EXPECT_EQ(Third.m_Peers.ownTurn(m_Now), (ReadRank{2, 2}));
   EXPECT_EQ(Third.m_Peers.group(m_Now, NewsReach::All),
             (std::vector<std::string>{"link-e1", "link-e2"}));
   m_IsCut = true;
   run(8s);
-  EXPECT_EQ(Third.m_Peers.ownTurn(m_Now), (ReadingTurn{0, 0}));
+  EXPECT_EQ(Third.m_Peers.ownTurn(m_Now), (ReadRank{0, 0}));
 }
 
 TEST_F(EntryHellos, LocalEntriesAreRankedPerDataCentre) {
@@ -102,9 +102,9 @@
   Entry &Third = add("e3", "a");
   Entry &Fourth = add("e4", "b");
   run(2s);
-  EXPECT_EQ(Second.m_Peers.ownTurn(m_Now), (ReadingTurn{1, 0}));
-  EXPECT_EQ(Third.m_Peers.ownTurn(m_Now), (ReadingTurn{2, 1}));
-  EXPECT_EQ(Fourth.m_Peers.ownTurn(m_Now), (ReadingTurn{3, 1}));
+  EXPECT_EQ(Second.m_Peers.ownTurn(m_Now), (ReadRank{1, 0}));
+  EXPECT_EQ(Third.m_Peers.ownTurn(m_Now), (ReadRank{2, 1}));
+  EXPECT_EQ(Fourth.m_Peers.ownTurn(m_Now), (ReadRank{3, 1}));
   EXPECT_EQ(Fourth.m_Peers.group(m_Now, NewsReach::Near),
             std::vector<std::string>{"link-e2"});
   EXPECT_EQ(Fourth.m_Peers.group(m_Now, NewsReach::All).size(), 3U);
@@ -123,7 +123,7 @@
   EXPECT_EQ(m_Entries.front()->m_Peers.group(m_Now, NewsReach::All).size(),
             OfEach - 1U);
   // "b0": all ids of the other data centre are smaller but do not count.
-  EXPECT_EQ(m_Entries[1]->m_Peers.ownTurn(m_Now), (ReadingTurn{0, 0}));
+  EXPECT_EQ(m_Entries[1]->m_Peers.ownTurn(m_Now), (ReadRank{0, 0}));
 }
 
 } // namespace
--- a/test/instance-table-test.cc
+++ b/test/instance-table-test.cc
@@ -72,14 +72,14 @@
   Plain.m_Service = {"desk"};
   list({listed("i"), Plain});
   EXPECT_FALSE(m_Table.lost({"i"}, Start, Start + 1ms));
-  m_Table.heard({"i"}, Start + 5ms);
+  m_Table.dataReceived({"i"}, Start + 5ms);
   EXPECT_TRUE(m_Table.lost({"i"}, Start + 2ms, Start + 9ms));
   EXPECT_FALSE(m_Table.lost({"i"}, Start + 10ms, Start + 11ms));
   // A plain service sends nothing before its answer.
   EXPECT_TRUE(m_Table.lost({"plain"}, Start, Start + 20ms));
   EXPECT_TRUE(m_Table.lost({"plain"}, Start + 10ms, Start + 20ms));
   EXPECT_FALSE(m_Table.lost({"plain"}, Start + 21ms, Start + 22ms));
-  m_Table.heard({"plain"}, Start + 30ms);
+  m_Table.dataReceived({"plain"}, Start + 30ms);
   EXPECT_TRUE(m_Table.lost({"plain"}, Start + 40ms, Start + 50ms));
 }
 
@@ -94,7 +94,7 @@
   EXPECT_TRUE(m_Table.lost({"i"}, Start + 20ms, Start + 90ms));
   // The instance is gone by now, whatever accepts connections in its place.
   EXPECT_FALSE(m_Table.lost({"i"}, Start + 100ms, Start + 101ms));
-  m_Table.heard({"i"}, Start + 200ms);
+  m_Table.dataReceived({"i"}, Start + 200ms);
   EXPECT_FALSE(m_Table.lost({"i"}, Start + 2s, Start + 2'001ms));
 }
 
@@ -122,15 +122,15 @@
 
 TEST_F(InstanceTableTest, NoRequestsDuringBackOff) {
   list({listed("i"), listed("j")});
-  EXPECT_TRUE(m_Table.rest({"i"}, Start + 3s, Start));
-  EXPECT_FALSE(m_Table.rest({"i"}, Start + 1s, Start)); // Not shortened.
+  EXPECT_TRUE(m_Table.backOff({"i"}, Start + 3s, Start));
+  EXPECT_FALSE(m_Table.backOff({"i"}, Start + 1s, Start)); // Not shortened.
   EXPECT_EQ(chosen(Start + 2'999ms), "j");
-  EXPECT_TRUE(m_Table.rest({"j"}, Start + 5s, Start + 1s));
+  EXPECT_TRUE(m_Table.backOff({"j"}, Start + 5s, Start + 1s));
   const InstanceChoice None = m_Table.choose(m_Query, Start + 1s);
-  EXPECT_EQ(None.m_Outcome, ChoiceOutcome::Resting);
+  EXPECT_EQ(None.m_Outcome, ChoiceOutcome::BackingOff);
   EXPECT_EQ(None.m_RetryAfter, 2s);
   EXPECT_EQ(chosen(Start + 3s), "i");
-  EXPECT_TRUE(m_Table.rest({"i"}, Start + 4s, Start + 3s));
+  EXPECT_TRUE(m_Table.backOff({"i"}, Start + 4s, Start + 3s));
 }
 
 TEST_F(InstanceTableTest, NoRequestsToLeavingInstance) {
@@ -174,20 +174,20 @@
     report(100, 4, {{"m", 1, true}});
   }
 
-  static FleetInstance life(const std::string &Id) {
+  static FleetInstance incarnation(const std::string &Id) {
     FleetInstance Out = listed(Id);
     Out.m_Address = "10.0.0.1:80";
     return Out;
   }
-  void report(std::uint64_t Life, std::uint32_t Running,
+  void report(std::uint64_t ReportedStart, std::uint32_t Running,
               std::vector<HeldWeights> Weights) {
     InstanceReport Report{Running, 0, true, true, std::move(Weights)};
-    Report.m_Start = Life;
+    Report.m_Start = ReportedStart;
     m_Table.report(m_First.m_Address, Report, Start);
   }
 
-  FleetInstance m_First = life("i~100");
-  FleetInstance m_Second = life("i~90");
+  FleetInstance m_First = incarnation("i~100");
+  FleetInstance m_Second = incarnation("i~90");
 };
 
 TEST_F(RestartedInstance, EarlierIncarnationStateIsDropped) {
@@ -257,7 +257,7 @@
   FleetInstance Other = listed("j");
   Other.m_Start = 100;
   list({One, Other});
-  m_Table.heard({"j"}, Start);
+  m_Table.dataReceived({"j"}, Start);
   EXPECT_TRUE(m_Table.isConfirmed({"j"}, Start));
   EXPECT_FALSE(m_Table.isConfirmed({"i"}, Start + 4s));
   EXPECT_TRUE(m_Table.isConfirmed({"i"}, Start + 5s));
@@ -275,12 +275,12 @@
 
 TEST_F(RestartedInstance, RequestsAtEarlierIncarnationAreReportedAtOnce) {
   m_Table.started(m_First.m_Id, Start);
-  EXPECT_TRUE(m_Table.supersededWithRequests().empty());
+  EXPECT_TRUE(m_Table.replacedWithRequests().empty());
   list({m_Second});
-  EXPECT_EQ(m_Table.supersededWithRequests(),
+  EXPECT_EQ(m_Table.replacedWithRequests(),
             std::vector<InstanceId>{m_First.m_Id});
   m_Table.ended(m_First.m_Id, InstanceTable::End::Failed, false, Start);
-  EXPECT_TRUE(m_Table.supersededWithRequests().empty());
+  EXPECT_TRUE(m_Table.replacedWithRequests().empty());
 }
 
 TEST_F(InstanceTableTest, OlderVersionServesLongerOverSoundLink) {
@@ -328,12 +328,12 @@
 TEST_F(InstanceTableTest, WaitingRequestsBeginBeforeVersionBound) {
   m_Table.setVersionBound(8s);
   list({listed("old", "a", 1)});
-  EXPECT_FALSE(m_Table.beginBy({"old"}, "m"));
+  EXPECT_FALSE(m_Table.latestBegin({"old"}, "m"));
   m_Table.setWeights({{"m", 2}}, Start);
   m_Table.setWeights({{"m", 3}}, Start + 4s);
-  EXPECT_EQ(m_Table.beginBy({"old"}, "m"), Start + 8s);
-  EXPECT_FALSE(m_Table.beginBy({"old"}, "other"));
-  EXPECT_FALSE(m_Table.beginBy({"unknown"}, "m"));
+  EXPECT_EQ(m_Table.latestBegin({"old"}, "m"), Start + 8s);
+  EXPECT_FALSE(m_Table.latestBegin({"old"}, "other"));
+  EXPECT_FALSE(m_Table.latestBegin({"unknown"}, "m"));
   const auto Load = [&](std::uint64_t Version) {
     InstanceReport Report{1, 0, false, true, {{"m", 1, true}}};
     Report.m_Loading = Version;
@@ -341,9 +341,9 @@
   };
   // Requests that wait for a load begin on the loaded version.
   Load(2);
-  EXPECT_EQ(m_Table.beginBy({"old"}, "m"), Start + 12s);
+  EXPECT_EQ(m_Table.latestBegin({"old"}, "m"), Start + 12s);
   Load(3);
-  EXPECT_FALSE(m_Table.beginBy({"old"}, "m"));
+  EXPECT_FALSE(m_Table.latestBegin({"old"}, "m"));
 }
 
 TEST_F(InstanceTableTest, OlderVersionServesShorterWhereRequestsQueue) {
--- a/test/membership-table-test.cc
+++ b/test/membership-table-test.cc
@@ -12,11 +12,12 @@
 
 constexpr MembershipSettings Limits{1'000ms, 3'000ms, 15'000ms};
 
-Member member(const std::string &Name, Role As, std::uint64_t Life = 1,
+Member member(const std::string &Name, Role As,
+              std::uint64_t IncarnationNumber = 1,
               const std::string &Centre = "lahore") {
   Member Out;
   Out.m_Id.m_Text = Name;
-  Out.m_Incarnation.m_Value = Life;
+  Out.m_Incarnation.m_Value = IncarnationNumber;
   Out.m_Role = As;
   Out.m_DataCentre.m_Text = Centre;
   return Out;
@@ -98,7 +99,7 @@
     for (const InstanceId &To :
          chooseEntries(Sender.m_Id, Sender.m_DataCentre, Entries))
       if (reaches(Sender.m_Id, To))
-        m_Tables.at(To).heard(m_Now, {Sender, m_Sequence});
+        m_Tables.at(To).receiveHeartbeat(m_Now, {Sender, m_Sequence});
   }
 
   void exchange(const InstanceId &Self, MembershipTable &Table) {
@@ -237,24 +238,24 @@
 TEST(Membership, LeavingIncarnationIsKnownEverywhere) {
   Fleet Of(5, 4);
   Of.steps(3);
-  EXPECT_EQ(Of.m_Tables.at({"e1"}).leavingLife({"a1"}), Incarnation{});
+  EXPECT_EQ(Of.m_Tables.at({"e1"}).leavingIncarnation({"a1"}), Incarnation{});
   Of.m_Tables.at({"e0"}).applyPlatformList({{{"a1"}, true}});
   Of.steps(6);
   for (auto &[Id, Table] : Of.m_Tables) {
-    EXPECT_EQ(Table.leavingLife({"a1"}), Incarnation{1}) << Id.m_Text;
-    EXPECT_EQ(Table.leavingLife({"a2"}), Incarnation{}) << Id.m_Text;
+    EXPECT_EQ(Table.leavingIncarnation({"a1"}), Incarnation{1}) << Id.m_Text;
+    EXPECT_EQ(Table.leavingIncarnation({"a2"}), Incarnation{}) << Id.m_Text;
   }
   Of.m_Members[{"a1"}].m_Incarnation = {2};
   Of.steps(6);
   for (auto &[Id, Table] : Of.m_Tables)
-    EXPECT_EQ(Table.leavingLife({"a1"}), Incarnation{}) << Id.m_Text;
+    EXPECT_EQ(Table.leavingIncarnation({"a1"}), Incarnation{}) << Id.m_Text;
 }
 
 TEST(Membership, EntryReadsItsOwnLeavingMark) {
   Fleet Of(3, 1);
   Of.steps(3);
   Of.m_Tables.at({"e0"}).applyPlatformList({{{"e0"}, true}});
-  EXPECT_EQ(Of.m_Tables.at({"e0"}).leavingLife({"e0"}), Incarnation{1});
+  EXPECT_EQ(Of.m_Tables.at({"e0"}).leavingIncarnation({"e0"}), Incarnation{1});
   EXPECT_EQ(Of.stateAt("e0", "e0"), MemberState::Alive);
 }
 
@@ -288,7 +289,7 @@
 /// One entry that watches one agent.
 struct Watch {
   Watch() {
-    m_Table.heard(TimePoint(0s), {member("a1", Role::Agent), 5});
+    m_Table.receiveHeartbeat(TimePoint(0s), {member("a1", Role::Agent), 5});
     m_Table.tick(TimePoint(0s)); // the watch begins
   }
   MemberState state() const { return m_Table.find({"a1"})->m_Member.m_State; }
@@ -321,7 +322,7 @@
   Leaves.m_State = MemberState::Leaving;
   EXPECT_TRUE(Of.m_Table.merge(TimePoint(1s), {Leaves, 4}));
   EXPECT_EQ(Of.state(), MemberState::Leaving);
-  Of.m_Table.heard(TimePoint(2s), {member("a1", Role::Agent), 6});
+  Of.m_Table.receiveHeartbeat(TimePoint(2s), {member("a1", Role::Agent), 6});
   EXPECT_EQ(Of.state(), MemberState::Leaving);
 }
 
@@ -354,10 +355,10 @@
 
 TEST(Membership, ShortHeartbeatOfUnknownIncarnationNeedsFullRecord) {
   MembershipTable Table(member("e0", Role::Entry), Limits);
-  EXPECT_FALSE(Table.heardShort({}, {{"a1"}, {1}, 5, {}, {}}));
-  Table.heard({}, {member("a1", Role::Agent), 5});
-  EXPECT_TRUE(Table.heardShort({}, {{"a1"}, {1}, 6, {9}, {}}));
-  EXPECT_FALSE(Table.heardShort({}, {{"a1"}, {2}, 1, {}, {}}));
+  EXPECT_FALSE(Table.receiveShortHeartbeat({}, {{"a1"}, {1}, 5, {}, {}}));
+  Table.receiveHeartbeat({}, {member("a1", Role::Agent), 5});
+  EXPECT_TRUE(Table.receiveShortHeartbeat({}, {{"a1"}, {1}, 6, {9}, {}}));
+  EXPECT_FALSE(Table.receiveShortHeartbeat({}, {{"a1"}, {2}, 1, {}, {}}));
   EXPECT_EQ(Table.find({"a1"})->m_Member.m_InForce, Revision{9});
 }
 
--- a/test/shared-reading-test.cc
+++ b/test/shared-reading-test.cc
@@ -1,7 +1,7 @@
 #include "deckpitch/shared-reading.h"
 
 #include "deckpitch/instance-list.h"
-#include "deckpitch/store-belief.h"
+#include "deckpitch/store-freshness.h"
 
 #include <gtest/gtest.h>
 
@@ -13,9 +13,9 @@
 constexpr ReadingPlan Plan{500ms, 840ms, 40ms, 280ms, 1'400ms};
 constexpr TimePoint Start{1h};
 
-SharedReading readingOf(ReadingTurn Turn) {
+SharedReading readingOf(ReadRank Turn) {
   SharedReading Out(Plan);
-  Out.setTurn(Turn);
+  Out.setRank(Turn);
   return Out;
 }
 
@@ -26,7 +26,7 @@
 
 TEST(SharedReading, FirstReadsAndOthersTakeOverByRank) {
   struct Row {
-    ReadingTurn m_Turn;
+    ReadRank m_Turn;
     Duration m_Due;
   };
   // One process in each data centre reads first: reads from several data
@@ -35,71 +35,72 @@
        {Row{{0, 0}, 500ms}, Row{{1, 0}, 840ms}, Row{{1, 1}, 880ms},
         Row{{12, 0}, 840ms}, Row{{13, 1}, 880ms}, Row{{19, 7}, 1'120ms},
         Row{{41, 41}, 1'120ms}}) {
-    SharedReading Under = readingOf(Each.m_Turn);
-    Under.confirm(Start);
-    EXPECT_EQ(Under.due() - Start, Each.m_Due)
+    SharedReading Subject = readingOf(Each.m_Turn);
+    Subject.confirm(Start);
+    EXPECT_EQ(Subject.due() - Start, Each.m_Due)
         << Each.m_Turn.m_All << " " << Each.m_Turn.m_Near;
   }
 }
 
 TEST(SharedReading, OlderUpdateDoesNotDelayRead) {
-  SharedReading Under = readingOf({1, 1});
-  Under.confirm(Start);
-  Under.confirm(Start - 300ms);
-  EXPECT_EQ(Under.asOf(), Start);
+  SharedReading Subject = readingOf({1, 1});
+  Subject.confirm(Start);
+  Subject.confirm(Start - 300ms);
+  EXPECT_EQ(Subject.asOf(), Start);
 }
 
 TEST(SharedReading, AnnouncedChangeIsReadByRank) {
-  SharedReading Under = readingOf({5, 3});
-  Under.confirm(Start);
-  Under.noteBehind(Start + 50ms, Under.turnWait());
-  EXPECT_EQ(Under.due(), Start + 50ms + 120ms);
-  Under.noteBehind(Start + 60ms,
-                   0ms); // A process of this data centre holds it now.
-  EXPECT_EQ(Under.due(), Start + 60ms);
-  Under.noteBehind(Start + 70ms, Under.turnWait());
-  EXPECT_EQ(Under.due(), Start + 60ms);
-  EXPECT_EQ(Under.behindFor(Start + 90ms), 40ms);
-  Under.confirm(Start + 100ms);
-  EXPECT_GT(Under.due(), Start + 100ms);
-  EXPECT_EQ(Under.behindFor(Start + 200ms), 0ms);
+  SharedReading Subject = readingOf({5, 3});
+  Subject.confirm(Start);
+  Subject.noteBehind(Start + 50ms, Subject.rankDelay());
+  EXPECT_EQ(Subject.due(), Start + 50ms + 120ms);
+  Subject.noteBehind(Start + 60ms,
+                     0ms); // A process of this data centre holds it now.
+  EXPECT_EQ(Subject.due(), Start + 60ms);
+  Subject.noteBehind(Start + 70ms, Subject.rankDelay());
+  EXPECT_EQ(Subject.due(), Start + 60ms);
+  EXPECT_EQ(Subject.behindFor(Start + 90ms), 40ms);
+  Subject.confirm(Start + 100ms);
+  EXPECT_GT(Subject.due(), Start + 100ms);
+  EXPECT_EQ(Subject.behindFor(Start + 200ms), 0ms);
 }
 
 TEST(SharedReading, CatchesUpFromOlderRead) {
-  SharedReading Under = readingOf({1, 0});
-  Under.confirm(Start);
-  Under.noteBehind(Start, 0ms);
-  Under.confirm(Start - 10ms);
-  EXPECT_TRUE(Under.isBehind());
-  Under.noteCaughtUp();
-  EXPECT_FALSE(Under.isBehind());
-  EXPECT_EQ(Under.asOf(), Start);
+  SharedReading Subject = readingOf({1, 0});
+  Subject.confirm(Start);
+  Subject.noteBehind(Start, 0ms);
+  Subject.confirm(Start - 10ms);
+  EXPECT_TRUE(Subject.isBehind());
+  Subject.noteCaughtUp();
+  EXPECT_FALSE(Subject.isBehind());
+  EXPECT_EQ(Subject.asOf(), Start);
 }
 
 TEST(DeclarationFreshness, NewerVersionStopsDenialThenService) {
   constexpr Duration Bound = 2s;
-  SharedReading Under = readingOf({1, 0});
-  Under.confirm(Start);
-  EXPECT_EQ(beliefOf(Under, Bound, Start + 100ms),
-            (StoreBelief{100ms, false, false}));
-  EXPECT_EQ(beliefOf(Under, Bound, Start + 2s), (StoreBelief{2s, true, false}));
-  Under.confirm(Start + 2s);
-  Under.noteBehind(Start + 2'100ms, 0ms);
-  EXPECT_EQ(beliefOf(Under, Bound, Start + 2'100ms),
-            (StoreBelief{100ms, true, false}));
-  EXPECT_EQ(beliefOf(Under, Bound, Start + 3'100ms),
-            (StoreBelief{1'100ms, true, true}));
-  Under.confirm(Start + 3'200ms);
-  EXPECT_EQ(beliefOf(Under, Bound, Start + 3'200ms),
-            (StoreBelief{0ms, false, false}));
+  SharedReading Subject = readingOf({1, 0});
+  Subject.confirm(Start);
+  EXPECT_EQ(freshnessOf(Subject, Bound, Start + 100ms),
+            (StoreFreshness{100ms, false, false}));
+  EXPECT_EQ(freshnessOf(Subject, Bound, Start + 2s),
+            (StoreFreshness{2s, true, false}));
+  Subject.confirm(Start + 2s);
+  Subject.noteBehind(Start + 2'100ms, 0ms);
+  EXPECT_EQ(freshnessOf(Subject, Bound, Start + 2'100ms),
+            (StoreFreshness{100ms, true, false}));
+  EXPECT_EQ(freshnessOf(Subject, Bound, Start + 3'100ms),
+            (StoreFreshness{1'100ms, true, true}));
+  Subject.confirm(Start + 3'200ms);
+  EXPECT_EQ(freshnessOf(Subject, Bound, Start + 3'200ms),
+            (StoreFreshness{0ms, false, false}));
 }
 
 TEST(SharedReading, IsStaleAfterAllRanksFailed) {
-  SharedReading Under = readingOf({3, 3});
-  EXPECT_FALSE(Under.isStale(Start));
-  Under.confirm(Start);
-  EXPECT_FALSE(Under.isStale(Start + 1'300ms));
-  EXPECT_TRUE(Under.isStale(Start + 1'500ms));
+  SharedReading Subject = readingOf({3, 3});
+  EXPECT_FALSE(Subject.isStale(Start));
+  Subject.confirm(Start);
+  EXPECT_FALSE(Subject.isStale(Start + 1'300ms));
+  EXPECT_TRUE(Subject.isStale(Start + 1'500ms));
 }
 
 FleetInstance instanceOf(const std::string &Id, bool IsLeaving = false) {
@@ -153,40 +154,40 @@
   EXPECT_NE(Plain, fingerprintOf({}));
 }
 
-TEST(LapsedInstances, AreGoneAfterTwoSecondsUnlessListed) {
+TEST(ExpiredInstances, AreGoneAfterTwoSecondsUnlessListed) {
   const InstanceList Known = listOf({instanceOf("i1"), instanceOf("i2")});
-  LapsedInstances Under;
-  Under.storeReturned(Start);
-  EXPECT_EQ(Under.complete({}, Known, Start), Known);
+  ExpiredInstances Subject;
+  Subject.storeReturned(Start);
+  EXPECT_EQ(Subject.complete({}, Known, Start), Known);
   const InstanceList Back = listOf({instanceOf("i1")});
-  EXPECT_EQ(Under.complete(Back, Known, Start + 1s), Known);
-  EXPECT_EQ(Under.complete(Back, Known, Start + 2s), Back);
+  EXPECT_EQ(Subject.complete(Back, Known, Start + 1s), Known);
+  EXPECT_EQ(Subject.complete(Back, Known, Start + 2s), Back);
 }
 
-TEST(LapsedInstances, MissingAfterBeingListedAgainIsGone) {
+TEST(ExpiredInstances, MissingAfterBeingListedAgainIsGone) {
   const InstanceList Known = listOf({instanceOf("i1"), instanceOf("i2")});
-  LapsedInstances Under;
-  Under.storeReturned(Start);
-  EXPECT_EQ(Under.complete(Known, Known, Start), Known);
+  ExpiredInstances Subject;
+  Subject.storeReturned(Start);
+  EXPECT_EQ(Subject.complete(Known, Known, Start), Known);
   const InstanceList Left = listOf({instanceOf("i1")});
-  EXPECT_EQ(Under.complete(Left, Known, Start + 100ms), Left);
+  EXPECT_EQ(Subject.complete(Left, Known, Start + 100ms), Left);
 }
 
-TEST(LapsedInstances, GoneWhenAddressHasAnotherIncarnation) {
+TEST(ExpiredInstances, GoneWhenAddressHasAnotherIncarnation) {
   const InstanceList Known = listOf({instanceOf("i1~1")});
-  LapsedInstances Under;
-  Under.storeReturned(Start);
+  ExpiredInstances Subject;
+  Subject.storeReturned(Start);
   const InstanceList Next = listOf({instanceOf("i1~2")});
-  EXPECT_EQ(Under.complete(Next, Known, Start), Next);
+  EXPECT_EQ(Subject.complete(Next, Known, Start), Next);
 }
 
-TEST(LapsedInstances, MissingWithoutOutageIsGone) {
+TEST(ExpiredInstances, MissingWithoutOutageIsGone) {
   const InstanceList Known = listOf({instanceOf("i1")});
-  LapsedInstances Under;
-  EXPECT_TRUE(Under.complete({}, Known, Start).empty());
-  Under.storeReturned(Start);
+  ExpiredInstances Subject;
+  EXPECT_TRUE(Subject.complete({}, Known, Start).empty());
+  Subject.storeReturned(Start);
   const InstanceList Leaving = listOf({instanceOf("i1", true)});
-  EXPECT_TRUE(Under.complete({}, Leaving, Start).empty());
+  EXPECT_TRUE(Subject.complete({}, Leaving, Start).empty());
 }
 
 } // namespace
--- a/test/place-ledger-test.cc
+++ b/test/slot-ledger-test.cc
@@ -1,4 +1,4 @@
-#include "deckpitch/place-ledger.h"
+#include "deckpitch/slot-ledger.h"
 
 #include <gtest/gtest.h>
 
@@ -57,10 +57,10 @@
 
 /// Nine entries see one instance that has just loaded its weights, and
 /// repeatedly send it one prompt each within a few milliseconds.
-TEST(PlaceLedger, BurstAtFreshInstanceMeetsObjective) {
+TEST(SlotLedger, BurstAtFreshInstanceMeetsObjective) {
   PassEngine WithLedger;
   PassEngine WithoutLedger;
-  PlaceLedger Ledger;
+  SlotLedger Ledger;
   int Granted = 0;
   for (int Ms = 0; Ms < 800; Ms += 4) {
     const TimePoint Now = Start + std::chrono::milliseconds(Ms);
@@ -81,8 +81,8 @@
   EXPECT_GE(lateOf(WithoutLedger), 10);
 }
 
-TEST(PlaceLedger, CountsGrantsNotYetReported) {
-  PlaceLedger Ledger;
+TEST(SlotLedger, CountsGrantsNotYetReported) {
+  SlotLedger Ledger;
   Ledger.reported(14, Start);
   EXPECT_TRUE(Ledger.grant(Usual, Start + 40ms));
   EXPECT_EQ(Ledger.held(), 15U);
@@ -93,8 +93,8 @@
   EXPECT_EQ(Ledger.held(), 15U);
 }
 
-TEST(PlaceLedger, FullInstanceQueuesWithinObjective) {
-  PlaceLedger Ledger;
+TEST(SlotLedger, FullInstanceQueuesWithinObjective) {
+  SlotLedger Ledger;
   Ledger.reported(16, Start);
   PlaceQuery Relaxed = Usual;
   Relaxed.m_FirstWithin = 400ms;
@@ -107,8 +107,8 @@
   EXPECT_FALSE(Ledger.grant(Relaxed, Start));
 }
 
-TEST(PlaceLedger, LongObjectiveDoesNotFillQueue) {
-  PlaceLedger Ledger;
+TEST(SlotLedger, LongObjectiveDoesNotFillQueue) {
+  SlotLedger Ledger;
   Ledger.reported(16, Start);
   PlaceQuery Any = Usual;
   Any.m_FirstWithin = 60s;
@@ -118,8 +118,8 @@
   EXPECT_EQ(Granted, 4); // A quarter of the slots.
 }
 
-TEST(PlaceLedger, LaterPromptDoesNotDelayEarlierOne) {
-  PlaceLedger Ledger;
+TEST(SlotLedger, LaterPromptDoesNotDelayEarlierOne) {
+  SlotLedger Ledger;
   Ledger.reported(4, Start);
   PlaceQuery Urgent = Usual;
   Urgent.m_FirstWithin = 130ms;
@@ -131,8 +131,8 @@
   EXPECT_TRUE(Ledger.grant(Relaxed, Start + 200ms));
 }
 
-TEST(PlaceLedger, ReservedSlotStaysFree) {
-  PlaceLedger Ledger;
+TEST(SlotLedger, ReservedSlotStaysFree) {
+  SlotLedger Ledger;
   Ledger.reported(14, Start);
   PlaceQuery Modest = Usual;
   Modest.m_FirstWithin = 150ms;
@@ -146,8 +146,8 @@
 /// Requests that were granted slots just before waited at the instance until
 /// the order came and were refused: granted at 22.022, ordered and refused at
 /// 22.159.
-TEST(PlaceLedger, NoGrantAfterInstanceCloses) {
-  PlaceLedger Ledger;
+TEST(SlotLedger, NoGrantAfterInstanceCloses) {
+  SlotLedger Ledger;
   Ledger.reported(4, Start);
   PlaceQuery Relaxed = Usual;
   Relaxed.m_FirstWithin = 400ms;
@@ -161,8 +161,8 @@
 /// An agent refused slots at an idle instance until it was restarted. It had
 /// granted one to a request without a prompt, and applied that request's
 /// deadline to all later ones.
-TEST(PlaceLedger, GrantWithoutPromptDoesNotLimitLaterOnes) {
-  PlaceLedger Ledger;
+TEST(SlotLedger, GrantWithoutPromptDoesNotLimitLaterOnes) {
+  SlotLedger Ledger;
   Ledger.reported(0, Start);
   PlaceQuery Bare = Usual;
   Bare.m_ReadTime = {};
--- a/test/state-rounds-test.cc
+++ b/test/state-rounds-test.cc
@@ -15,10 +15,10 @@
 namespace {
 
 /// What one entry received: running requests by address, in order.
-using Told = std::map<std::string, std::vector<std::uint32_t>>;
+using Received = std::map<std::string, std::vector<std::uint32_t>>;
 
-Told sentTo(const InstanceId &Id, const std::vector<StateSend> &Sends) {
-  Told Out;
+Received sentTo(const InstanceId &Id, const std::vector<StateSend> &Sends) {
+  Received Out;
   for (const StateSend &Send : Sends)
     for (const InstanceId &To : Send.m_To)
       for (const AgedState &Each : Send.m_Batch.m_States)
@@ -90,7 +90,7 @@
 
 TEST(StateSpreadRounds, ChangesWaitForRound) {
   StateSpread Of = relayAfterFirstRound(localRelay(0));
-  const InstanceId Near = plainEntriesOf(Here).front();
+  const InstanceId Local = plainEntriesOf(Here).front();
   std::map<InstanceId, std::vector<TimePoint>> Sent;
   std::uint64_t Sequence = 1;
   for (TimePoint Now = Quiet + 10ms; Now < Quiet + 1s; Now += 10ms) {
@@ -106,8 +106,8 @@
     for (std::size_t I = 1; I < Times.size(); ++I)
       EXPECT_EQ(Times[I] - Times[I - 1], Span);
   };
-  CheckInterval(Near, LocalInterval);
-  CheckInterval(remoteRelay(0), FarSpan);
+  CheckInterval(Local, LocalInterval);
+  CheckInterval(remoteRelay(0), RemoteInterval);
 }
 
 TEST(StateSpreadRounds, UnchangedStatesAreRepeatedOncePerInterval) {
@@ -120,12 +120,13 @@
   Of.setEntries(allEntries(), Start);
   for (const ListedAddress &Each : Listed)
     Of.receiveReport(stateOf(Each.m_Address, {{5}, 1}, 1), Start);
-  const InstanceId Near = plainEntriesOf(Here).front();
-  EXPECT_EQ(sentTo(Near, Of.due(Start)).size(), Count);
-  Told All;
+  const InstanceId Local = plainEntriesOf(Here).front();
+  EXPECT_EQ(sentTo(Local, Of.due(Start)).size(), Count);
+  Received All;
   std::size_t MostInOne = 0;
-  for (TimePoint Now = Start + 10ms; Now <= Start + RepeatSpan; Now += 10ms) {
-    const Told Round = sentTo(Near, Of.due(Now));
+  for (TimePoint Now = Start + 10ms; Now <= Start + RepeatInterval;
+       Now += 10ms) {
+    const Received Round = sentTo(Local, Of.due(Now));
     MostInOne = std::max(MostInOne, Round.size());
     for (const auto &[Address, Counts] : Round)
       All[Address].insert(All[Address].end(), Counts.begin(), Counts.end());
@@ -138,10 +139,11 @@
 
 TEST(StateSpreadRounds, IdleRelaySendsEmptyRounds) {
   StateSpread Of = relayAfterFirstRound(localRelay(0));
-  for (TimePoint Now = Quiet + FarSpan; Now < Quiet + 3s; Now += FarSpan) {
-    const std::set<InstanceId> Heard = receivers(Of.due(Now));
-    EXPECT_TRUE(Heard.contains(plainEntriesOf(Here).front()));
-    EXPECT_TRUE(Heard.contains(remoteRelay(0)));
+  for (TimePoint Now = Quiet + RemoteInterval; Now < Quiet + 3s;
+       Now += RemoteInterval) {
+    const std::set<InstanceId> Reached = receivers(Of.due(Now));
+    EXPECT_TRUE(Reached.contains(plainEntriesOf(Here).front()));
+    EXPECT_TRUE(Reached.contains(remoteRelay(0)));
   }
 }
 
@@ -191,14 +193,14 @@
   Expected.insert(remoteRelay(0));
   Expected.insert(chooseRelays(Third, allEntries()).at(0));
   EXPECT_EQ(receivers(OwnInstance, Of.due(Now)), Expected);
-  const InstanceId Near = plainEntriesOf(Here).front();
+  const InstanceId Local = plainEntriesOf(Here).front();
   std::size_t Again = 0;
   std::size_t AgainRemote = 0;
-  for (TimePoint Later = Now; Later < Now + RepeatSpan; Later += 10ms) {
+  for (TimePoint Later = Now; Later < Now + RepeatInterval; Later += 10ms) {
     // Otherwise everything is sent to both relays there.
     Of.receiveBatch(remoteRelay(0), {StateBatchFormat, There, {}}, Later);
     const std::vector<StateSend> Sends = Of.due(Later);
-    Again += sentTo(Near, Sends).size();
+    Again += sentTo(Local, Sends).size();
     AgainRemote += sentTo(remoteRelay(0), Sends).size();
   }
   EXPECT_LE(Again, 1U); // the repeat
@@ -236,7 +238,7 @@
   Of.receiveReport(Said, Start);
   Of.due(Start);
   std::size_t Times = 0;
-  for (Duration After = 50ms; After <= RepeatSpan; After += 50ms) {
+  for (Duration After = 50ms; After <= RepeatInterval; After += 50ms) {
     ++Said.m_Order.m_Sequence;
     Said.m_Report.m_SwapIn = 60s - After;
     Of.receiveReport(Said, Start + After);
@@ -261,9 +263,9 @@
           Quiet + 10ms);
   deliver(Of, localRelay(1), There, stateOf(RemoteInstance, {{5}, 2}, 2),
           Quiet + 10ms);
-  const std::vector<StateSend> Sends = Of.due(Quiet + FarSpan);
+  const std::vector<StateSend> Sends = Of.due(Quiet + RemoteInterval);
   // The own path of this relay may not have delivered it.
-  EXPECT_EQ(sentTo(remoteRelay(0), Sends), (Told{{OwnInstance, {2}}}));
+  EXPECT_EQ(sentTo(remoteRelay(0), Sends), (Received{{OwnInstance, {2}}}));
   for (const InstanceId &Each : plainEntriesOf(Here))
     EXPECT_FALSE(sentTo(Each, Sends).contains(RemoteInstance));
 }
@@ -313,8 +315,8 @@
   Of.setEntries(without(allEntries(), {Late}), Quiet + 2ms);
   Of.due(Quiet + 3ms);
   Of.setEntries(allEntries(), Quiet + 4ms);
-  const Told Heard = sentTo(Late, Of.due(Quiet + 2 * LocalInterval));
-  EXPECT_EQ(Heard, (Told{{OwnInstance, {1}}, {RemoteInstance, {1}}}));
+  const Received Reached = sentTo(Late, Of.due(Quiet + 2 * LocalInterval));
+  EXPECT_EQ(Reached, (Received{{OwnInstance, {1}}, {RemoteInstance, {1}}}));
 }
 
 TEST(StateSpreadRounds, SingleRelaySendsToBothRemoteRelays) {
@@ -345,15 +347,15 @@
 TEST(StateSpreadRounds, SilentPartnerIsBackedUpByBothRelays) {
   StateSpread Of = relayAfterFirstRound(localRelay(0));
   const auto IsOtherReached = [&](TimePoint Now) {
-    const std::set<InstanceId> Heard = receivers(Of.due(Now));
-    EXPECT_TRUE(Heard.contains(remoteRelay(0)));
-    return Heard.contains(remoteRelay(1));
+    const std::set<InstanceId> Reached = receivers(Of.due(Now));
+    EXPECT_TRUE(Reached.contains(remoteRelay(0)));
+    return Reached.contains(remoteRelay(1));
   };
   const StateBatch Empty{StateBatchFormat, There, {}};
-  EXPECT_FALSE(IsOtherReached(Start + FarSpan + 1ms));
-  Of.receiveBatch(remoteRelay(0), Empty, Start + FarSpan + 1ms);
+  EXPECT_FALSE(IsOtherReached(Start + RemoteInterval + 1ms));
+  Of.receiveBatch(remoteRelay(0), Empty, Start + RemoteInterval + 1ms);
   EXPECT_FALSE(IsOtherReached(Start + PathTimeout));
-  EXPECT_TRUE(IsOtherReached(Start + FarSpan + PathTimeout + 100ms));
+  EXPECT_TRUE(IsOtherReached(Start + RemoteInterval + PathTimeout + 100ms));
   Of.receiveBatch(remoteRelay(0), Empty, Start + 2s);
   EXPECT_FALSE(IsOtherReached(Start + 2s));
 }
@@ -364,8 +366,8 @@
   const InstanceId Successor = plainEntriesOf(There).front();
   Of.receiveBatch(remoteRelay(0), Empty, Quiet + 10ms);
   Of.receiveBatch(Successor, Empty, Quiet + 10ms);
-  const std::vector<StateSend> Sends = Of.due(Quiet + FarSpan);
-  EXPECT_EQ(sentTo(Successor, Sends), (Told{{OwnInstance, {1}}}));
+  const std::vector<StateSend> Sends = Of.due(Quiet + RemoteInterval);
+  EXPECT_EQ(sentTo(Successor, Sends), (Received{{OwnInstance, {1}}}));
 }
 
 } // namespace
--- a/test/state-spread-simulation-test.cc
+++ b/test/state-spread-simulation-test.cc
@@ -19,11 +19,11 @@
 constexpr Duration RemoteAim = 400ms;
 constexpr double AgePercentile = 99;
 /// Delay from agent to relay, across a border, and from relay to entry.
-constexpr Duration Ways = 4ms;
+constexpr Duration PathDelay = 4ms;
 /// Time until all know that an instance has closed.
 constexpr Duration ClosedAim = 300ms;
 /// Interval between two inspections of an instance by its agent.
-constexpr Duration LookSpan = 50ms;
+constexpr Duration InspectionInterval = 50ms;
 /// Time from a relay's death until its data centre knows it.
 constexpr Duration LocalDeathDetection = 1'200ms;
 constexpr Duration HelloInterval = 300ms;
@@ -58,17 +58,18 @@
 }
 
 void print(const char *What, const SpreadAges &Of) {
-  std::cout << What << ": near 99% " << ms(percentile(Of.m_Near, AgePercentile))
-            << " ms, most " << ms(most(Of.m_Near)) << " ms; far 99% "
-            << ms(percentile(Of.m_Far, AgePercentile)) << " ms, most "
-            << ms(most(Of.m_Far)) << " ms\n";
+  std::cout << What << ": near 99% "
+            << ms(percentile(Of.m_Local, AgePercentile)) << " ms, most "
+            << ms(most(Of.m_Local)) << " ms; far 99% "
+            << ms(percentile(Of.m_Remote, AgePercentile)) << " ms, most "
+            << ms(most(Of.m_Remote)) << " ms\n";
 }
 
 void expectAims(const SpreadAges &Of) {
-  EXPECT_FALSE(Of.m_Near.empty());
-  EXPECT_FALSE(Of.m_Far.empty());
-  EXPECT_LE(percentile(Of.m_Near, AgePercentile), LocalAim);
-  EXPECT_LE(percentile(Of.m_Far, AgePercentile), RemoteAim + Ways);
+  EXPECT_FALSE(Of.m_Local.empty());
+  EXPECT_FALSE(Of.m_Remote.empty());
+  EXPECT_LE(percentile(Of.m_Local, AgePercentile), LocalAim);
+  EXPECT_LE(percentile(Of.m_Remote, AgePercentile), RemoteAim + PathDelay);
 }
 
 /// Returns the instances that not all live entries know with a state that
@@ -86,28 +87,28 @@
 using Indices = std::vector<std::size_t>;
 
 TEST(StateSpreadSimulation, AgesStayWithinBounds) {
-  SpreadNetwork Under(large());
-  Under.runFor(Settling);
+  SpreadNetwork Network(large());
+  Network.runFor(Settling);
   SpreadAges Ages;
-  Under.runFor(2s, Ages);
+  Network.runFor(2s, Ages);
   print("undisturbed", Ages);
   expectAims(Ages);
-  EXPECT_LE(most(Ages.m_Near), MaxStateAge);
-  EXPECT_LE(most(Ages.m_Far), MaxStateAge);
-  EXPECT_LE(Ages.m_MaxAgeError, Ways);
-  EXPECT_EQ(instancesNotKnownToAll(Under, large().m_Instances, MaxStateAge),
+  EXPECT_LE(most(Ages.m_Local), MaxStateAge);
+  EXPECT_LE(most(Ages.m_Remote), MaxStateAge);
+  EXPECT_LE(Ages.m_MaxAgeError, PathDelay);
+  EXPECT_EQ(instancesNotKnownToAll(Network, large().m_Instances, MaxStateAge),
             Indices{});
-  EXPECT_EQ(Under.refusedStates(), 0U);
-  EXPECT_EQ(Under.orderViolations(), 0U);
+  EXPECT_EQ(Network.refusedStates(), 0U);
+  EXPECT_EQ(Network.orderViolations(), 0U);
 }
 
 TEST(StateSpreadSimulation, ClosedInstanceIsKnownToAllSoon) {
-  SpreadNetwork Under(large());
-  Under.runFor(Settling);
+  SpreadNetwork Network(large());
+  Network.runFor(Settling);
   for (std::size_t I = 0; I < large().m_DataCentres; ++I) {
-    Under.closeInstance(I);
-    Under.runFor(ClosedAim);
-    EXPECT_EQ(Under.entriesThatKnowClosed(I), Under.liveEntries()) << I;
+    Network.closeInstance(I);
+    Network.runFor(ClosedAim);
+    EXPECT_EQ(Network.entriesThatKnowClosed(I), Network.liveEntries()) << I;
   }
 }
 
@@ -116,19 +117,19 @@
   // 200 ms to the others.
   constexpr double Direct = 30 * 20 + 119 * 5;
   constexpr auto Length = 3s;
-  SpreadNetwork Under(large());
-  Under.runFor(Settling);
-  Under.resetCounts();
-  Under.runFor(Length);
+  SpreadNetwork Network(large());
+  Network.runFor(Settling);
+  Network.resetCounts();
+  Network.runFor(Length);
   std::uint64_t Most = 0;
   std::uint64_t Least = UINT64_MAX;
-  for (const Traffic &Each : Under.counts().m_AgentsSent) {
+  for (const Traffic &Each : Network.counts().m_AgentsSent) {
     Most = std::max(Most, Each.m_Datagrams);
     Least = std::min(Least, Each.m_Datagrams);
   }
   const double Seconds = std::chrono::duration<double>(Length).count();
   const double PerSecond = static_cast<double>(Most) / Seconds;
-  const double Hellos = static_cast<double>(Under.counts().m_Hellos.m_Bytes) /
+  const double Hellos = static_cast<double>(Network.counts().m_Hellos.m_Bytes) /
                         Seconds / static_cast<double>(large().m_Instances);
   std::cout << "an agent sends at most " << PerSecond << " datagrams/s, of "
             << Direct << "; receives " << Hellos << " bytes/s of hellos\n";
@@ -138,13 +139,13 @@
 
 /// Returns the largest traffic that an entry received in a second.
 Traffic maxReceived(const SpreadOptions &Options) {
-  SpreadNetwork Under(Options);
-  Under.runFor(Settling);
-  Under.resetCounts();
+  SpreadNetwork Network(Options);
+  Network.runFor(Settling);
+  Network.resetCounts();
   constexpr std::uint64_t Seconds = 3;
-  Under.runFor(std::chrono::seconds(Seconds));
+  Network.runFor(std::chrono::seconds(Seconds));
   Traffic Most;
-  for (const Traffic &Each : Under.counts().m_EntriesReceived) {
+  for (const Traffic &Each : Network.counts().m_EntriesReceived) {
     Most.m_Datagrams = std::max(Most.m_Datagrams, Each.m_Datagrams / Seconds);
     Most.m_Bytes = std::max(Most.m_Bytes, Each.m_Bytes / Seconds);
   }
@@ -216,11 +217,11 @@
   SpreadOptions Options = middle();
   Options.m_Entries = Entries;
   Options.m_ChangeChance = 0.05;
-  SpreadNetwork Under(Options);
-  Under.runFor(2 * Settling);
-  Under.resetCounts();
-  Under.runFor(Length);
-  return Under.counts();
+  SpreadNetwork Network(Options);
+  Network.runFor(2 * Settling);
+  Network.resetCounts();
+  Network.runFor(Length);
+  return Network.counts();
 }
 
 std::size_t bytesOfState() {
@@ -236,7 +237,8 @@
   const SpreadCounts Counts = quietRun(middle().m_Entries, Length);
   const std::uint64_t Others = middle().m_DataCentres - 1;
   const std::uint64_t Repeats =
-      middle().m_Instances * static_cast<std::uint64_t>(Length / RepeatSpan);
+      middle().m_Instances *
+      static_cast<std::uint64_t>(Length / RepeatInterval);
   const std::uint64_t Most =
       RelaysPerDataCentre * Others * (Counts.m_Changes + Repeats);
   std::cout << Counts.m_Changes << " changes: " << Counts.m_StatesAcrossBorders
@@ -246,7 +248,8 @@
   EXPECT_GT(Counts.m_Changes, 0U);
   EXPECT_LE(Counts.m_StatesAcrossBorders, Most);
   // A round's states fit into one datagram.
-  const std::uint64_t Rounds = static_cast<std::uint64_t>(Length / FarSpan) + 1;
+  const std::uint64_t Rounds =
+      static_cast<std::uint64_t>(Length / RemoteInterval) + 1;
   const std::uint64_t Paths =
       RelaysPerDataCentre * middle().m_DataCentres * Others;
   EXPECT_LE(Counts.m_AcrossBorders.m_Datagrams, Paths * Rounds);
@@ -268,130 +271,134 @@
 TEST(StateSpreadSimulation, LostDatagramsAreRepeated) {
   SpreadOptions Options = middle();
   Options.m_LossShare = 0.05;
-  SpreadNetwork Under(Options);
-  Under.runFor(2 * Settling);
+  SpreadNetwork Network(Options);
+  Network.runFor(2 * Settling);
   SpreadAges Ages;
-  Under.runFor(5s, Ages);
+  Network.runFor(5s, Ages);
   print("one in twenty lost", Ages);
   // One more round.
-  EXPECT_LE(percentile(Ages.m_Near, AgePercentile), LocalAim + LocalInterval);
-  EXPECT_LE(percentile(Ages.m_Far, AgePercentile), RemoteAim + FarSpan + Ways);
-  EXPECT_LE(most(Ages.m_Far), MaxStateAge);
-  EXPECT_EQ(Under.orderViolations(), 0U);
+  EXPECT_LE(percentile(Ages.m_Local, AgePercentile), LocalAim + LocalInterval);
+  EXPECT_LE(percentile(Ages.m_Remote, AgePercentile),
+            RemoteAim + RemoteInterval + PathDelay);
+  EXPECT_LE(most(Ages.m_Remote), MaxStateAge);
+  EXPECT_EQ(Network.orderViolations(), 0U);
   // At the latest with the repetitions of both relays.
   for (std::size_t I = 0; I < Options.m_DataCentres; ++I)
-    Under.closeInstance(I);
-  Under.runFor(ClosedAim + RepeatSpan);
+    Network.closeInstance(I);
+  Network.runFor(ClosedAim + RepeatInterval);
   for (std::size_t I = 0; I < Options.m_DataCentres; ++I)
-    EXPECT_EQ(Under.entriesThatKnowClosed(I), Under.liveEntries()) << I;
+    EXPECT_EQ(Network.entriesThatKnowClosed(I), Network.liveEntries()) << I;
 }
 
 /// Maximum age while the data centre has no working relay: an entry then
 /// receives the agents' reports directly, after a silence, a hello and an
 /// inspection.
-constexpr Duration MaxAgeWithoutRelays = LocalAim + RelayTimeout + LookSpan;
+constexpr Duration MaxAgeWithoutRelays =
+    LocalAim + RelayTimeout + InspectionInterval;
 
 TEST(StateSpreadSimulation, RelaysKilledOneAfterTheOther) {
-  SpreadNetwork Under(middle());
-  Under.runFor(Settling);
+  SpreadNetwork Network(middle());
+  Network.runFor(Settling);
   SpreadAges Ages;
   for (int I = 0; I < 6; ++I) {
-    Under.killEntry(Under.relaysIn(0).at(0));
-    Under.runFor(300ms, Ages);
+    Network.killEntry(Network.relaysIn(0).at(0));
+    Network.runFor(300ms, Ages);
   }
-  Under.runFor(LocalDeathDetection + RemoteAim, Ages);
+  Network.runFor(LocalDeathDetection + RemoteAim, Ages);
   print("relays killed one after the other", Ages);
-  EXPECT_LE(most(Ages.m_Near), MaxAgeWithoutRelays);
-  EXPECT_LE(most(Ages.m_Far), MaxStateAge);
-  EXPECT_EQ(
-      instancesNotKnownToAll(Under, middle().m_Instances, RemoteAim + Ways),
-      Indices{});
-  EXPECT_EQ(Under.orderViolations(), 0U);
+  EXPECT_LE(most(Ages.m_Local), MaxAgeWithoutRelays);
+  EXPECT_LE(most(Ages.m_Remote), MaxStateAge);
+  EXPECT_EQ(instancesNotKnownToAll(Network, middle().m_Instances,
+                                   RemoteAim + PathDelay),
+            Indices{});
+  EXPECT_EQ(Network.orderViolations(), 0U);
 }
 
 TEST(StateSpreadSimulation, AllRelaysOfADataCentreKilledAtOnce) {
-  SpreadNetwork Under(middle());
-  Under.runFor(Settling);
+  SpreadNetwork Network(middle());
+  Network.runFor(Settling);
   SpreadAges Ages;
-  for (const std::size_t Each : Under.relaysIn(0))
-    Under.killEntry(Each);
-  Under.runFor(LocalDeathDetection + FarSpan + RemoteAim, Ages);
+  for (const std::size_t Each : Network.relaysIn(0))
+    Network.killEntry(Each);
+  Network.runFor(LocalDeathDetection + RemoteInterval + RemoteAim, Ages);
   print("all relays of a data centre killed", Ages);
-  EXPECT_LE(most(Ages.m_Near), MaxAgeWithoutRelays);
+  EXPECT_LE(most(Ages.m_Local), MaxAgeWithoutRelays);
   // Other data centres answer the new relays in their next round.
-  EXPECT_LE(most(Ages.m_Far), LocalDeathDetection + FarSpan + RemoteAim + Ways);
+  EXPECT_LE(most(Ages.m_Remote),
+            LocalDeathDetection + RemoteInterval + RemoteAim + PathDelay);
   SpreadAges After;
-  Under.runFor(5s, After);
+  Network.runFor(5s, After);
   print("after that", After);
   expectAims(After);
 }
 
 TEST(StateSpreadSimulation, OneRelayAtEachEndKilledAtOnce) {
-  SpreadNetwork Under(middle());
-  Under.runFor(Settling);
+  SpreadNetwork Network(middle());
+  Network.runFor(Settling);
   SpreadAges Ages;
-  const std::size_t One = Under.relaysIn(0).at(0);
-  const std::size_t Other = Under.relaysIn(1).at(1);
-  Under.killEntry(One);
-  Under.killEntry(Other);
-  Under.runFor(4s, Ages);
+  const std::size_t One = Network.relaysIn(0).at(0);
+  const std::size_t Other = Network.relaysIn(1).at(1);
+  Network.killEntry(One);
+  Network.killEntry(Other);
+  Network.runFor(4s, Ages);
   print("one relay at each end killed", Ages);
-  EXPECT_LE(percentile(Ages.m_Near, AgePercentile), LocalAim);
+  EXPECT_LE(percentile(Ages.m_Local, AgePercentile), LocalAim);
   // The silence, the round to both relays, and its answer.
-  EXPECT_LE(most(Ages.m_Far), PathTimeout + 2 * FarSpan + RemoteAim + Ways);
+  EXPECT_LE(most(Ages.m_Remote),
+            PathTimeout + 2 * RemoteInterval + RemoteAim + PathDelay);
 }
 
 TEST(StateSpreadSimulation, RelaysRestartedOneAfterTheOther) {
-  SpreadNetwork Under(middle());
-  Under.runFor(Settling);
-  for (const std::size_t Each : Under.relaysIn(0)) {
-    Under.killEntry(Each);
-    Under.runFor(3s); // others have taken over its role
-    Under.startEntry(Each);
+  SpreadNetwork Network(middle());
+  Network.runFor(Settling);
+  for (const std::size_t Each : Network.relaysIn(0)) {
+    Network.killEntry(Each);
+    Network.runFor(3s); // others have taken over its role
+    Network.startEntry(Each);
     // Until the others know that it is alive.
-    Under.runFor(ReturnDetection + RemoteAim);
-    EXPECT_EQ(
-        instancesNotKnownToAll(Under, middle().m_Instances, RemoteAim + Ways),
-        Indices{});
+    Network.runFor(ReturnDetection + RemoteAim);
+    EXPECT_EQ(instancesNotKnownToAll(Network, middle().m_Instances,
+                                     RemoteAim + PathDelay),
+              Indices{});
     SpreadAges Ages;
-    Under.runFor(2s, Ages);
+    Network.runFor(2s, Ages);
     print("a relay restarted", Ages);
     expectAims(Ages);
   }
 }
 
 TEST(StateSpreadSimulation, WholeDataCentreKilled) {
-  SpreadNetwork Under(middle());
-  Under.runFor(Settling);
-  for (const std::size_t Each : Under.entriesIn(2))
-    Under.killEntry(Each);
+  SpreadNetwork Network(middle());
+  Network.runFor(Settling);
+  for (const std::size_t Each : Network.entriesIn(2))
+    Network.killEntry(Each);
   for (std::size_t I = 2; I < middle().m_Instances; I += middle().m_DataCentres)
-    Under.killAgent(I);
+    Network.killAgent(I);
   SpreadAges Ages;
-  Under.runFor(4s, Ages);
+  Network.runFor(4s, Ages);
   print("a whole data centre killed", Ages);
   expectAims(Ages);
-  EXPECT_EQ(Under.liveEntries(), 40U);
+  EXPECT_EQ(Network.liveEntries(), 40U);
 }
 
 TEST(StateSpreadSimulation, LinksOfARegionCutForAMinute) {
-  SpreadNetwork Under(small());
-  Under.runFor(Settling);
-  Under.cut(0);
+  SpreadNetwork Network(small());
+  Network.runFor(Settling);
+  Network.cut(0);
   SpreadAges Ages;
-  Under.runFor(60s, Ages);
-  EXPECT_FALSE(Ages.m_Near.empty());
-  EXPECT_LE(percentile(Ages.m_Near, AgePercentile), LocalAim);
-  EXPECT_LE(most(Ages.m_Near), LocalAim + LocalInterval);
+  Network.runFor(60s, Ages);
+  EXPECT_FALSE(Ages.m_Local.empty());
+  EXPECT_LE(percentile(Ages.m_Local, AgePercentile), LocalAim);
+  EXPECT_LE(most(Ages.m_Local), LocalAim + LocalInterval);
   // The other two still reach each other: a third of the remote pairs.
-  EXPECT_LE(percentile(Ages.m_Far, 33), RemoteAim + Ways);
-  EXPECT_GE(most(Ages.m_Far), 59s); // nothing passed
-  Under.mend(0);
-  Under.runFor(1'200ms);
-  EXPECT_EQ(
-      instancesNotKnownToAll(Under, small().m_Instances, RemoteAim + Ways),
-      Indices{});
-  EXPECT_EQ(Under.orderViolations(), 0U);
+  EXPECT_LE(percentile(Ages.m_Remote, 33), RemoteAim + PathDelay);
+  EXPECT_GE(most(Ages.m_Remote), 59s); // nothing passed
+  Network.mend(0);
+  Network.runFor(1'200ms);
+  EXPECT_EQ(instancesNotKnownToAll(Network, small().m_Instances,
+                                   RemoteAim + PathDelay),
+            Indices{});
+  EXPECT_EQ(Network.orderViolations(), 0U);
 }
 
 TEST(StateSpreadSimulation, PausedRelayDoesNotRestoreOldStates) {
@@ -399,33 +406,34 @@
     SCOPED_TRACE(Seed);
     SpreadOptions Options = middle();
     Options.m_Seed = Seed;
-    SpreadNetwork Under(Options);
-    Under.runFor(Settling);
-    const std::size_t Relay = Under.relaysIn(0).at(0);
-    Under.pauseEntry(Relay);
+    SpreadNetwork Network(Options);
+    Network.runFor(Settling);
+    const std::size_t Relay = Network.relaysIn(0).at(0);
+    Network.pauseEntry(Relay);
     SpreadAges Ages;
-    Under.runFor(1s);
-    Under.closeInstance(0);
-    Under.runFor(1s);
-    Under.resumeEntry(Relay);
+    Network.runFor(1s);
+    Network.closeInstance(0);
+    Network.runFor(1s);
+    Network.resumeEntry(Relay);
     for (int I = 0; I < 20; ++I) {
-      EXPECT_EQ(Under.entriesThatKnowClosed(0), Under.liveEntries());
-      Under.runFor(97ms, Ages);
+      EXPECT_EQ(Network.entriesThatKnowClosed(0), Network.liveEntries());
+      Network.runFor(97ms, Ages);
     }
-    EXPECT_EQ(Under.orderViolations(), 0U);
-    EXPECT_LE(Ages.m_MaxAgeError, Ways);
+    EXPECT_EQ(Network.orderViolations(), 0U);
+    EXPECT_LE(Ages.m_MaxAgeError, PathDelay);
     expectAims(Ages);
   }
 }
 
 TEST(StateSpreadSimulation, RestartedAgentIsAcceptedSoon) {
-  SpreadNetwork Under(middle());
-  Under.runFor(Settling);
-  Under.restartAgent(0);
+  SpreadNetwork Network(middle());
+  Network.runFor(Settling);
+  Network.restartAgent(0);
   // It must first receive a hello.
-  Under.runFor(HelloInterval + LookSpan + RemoteAim + Ways);
-  EXPECT_EQ(Under.entriesThatKnow(0, RemoteAim + Ways), Under.liveEntries());
-  EXPECT_EQ(Under.orderViolations(), 0U);
+  Network.runFor(HelloInterval + InspectionInterval + RemoteAim + PathDelay);
+  EXPECT_EQ(Network.entriesThatKnow(0, RemoteAim + PathDelay),
+            Network.liveEntries());
+  EXPECT_EQ(Network.orderViolations(), 0U);
 }
 
 } // namespace
--- a/test/state-spread-test.cc
+++ b/test/state-spread-test.cc
@@ -21,31 +21,31 @@
 TEST(StateSpread, StoresAgentReportWithItsTime) {
   StateSpread Of = plainEntry();
   EXPECT_EQ(Of.find(OwnInstance), std::nullopt);
-  const SpreadState Said = stateOf(OwnInstance, {{5}, 1}, 7);
-  Of.receiveReport(Said, Start + 100ms, 30ms);
-  EXPECT_EQ(Of.find(OwnInstance), (KnownState{Said, Start + 70ms}));
+  const SpreadState State = stateOf(OwnInstance, {{5}, 1}, 7);
+  Of.receiveReport(State, Start + 100ms, 30ms);
+  EXPECT_EQ(Of.find(OwnInstance), (KnownState{State, Start + 70ms}));
   EXPECT_EQ(Of.refusedStates(), 0U);
 }
 
 TEST(StateSpread, AddsDelayToReceivedAge) {
   StateSpread Of = plainEntry();
-  const SpreadState Said = stateOf(RemoteInstance, {{5}, 1}, 7);
-  Of.receiveBatch(remoteRelay(0), {StateBatchFormat, There, {{Said, 150ms}}},
+  const SpreadState State = stateOf(RemoteInstance, {{5}, 1}, 7);
+  Of.receiveBatch(remoteRelay(0), {StateBatchFormat, There, {{State, 150ms}}},
                   Start + 1s, 20ms);
-  EXPECT_EQ(Of.find(RemoteInstance), (KnownState{Said, Start + 830ms}));
+  EXPECT_EQ(Of.find(RemoteInstance), (KnownState{State, Start + 830ms}));
 }
 
 TEST(StateSpread, SameStateGetsNoYoungerByAnotherPath) {
   StateSpread Of = plainEntry();
-  const SpreadState Said = stateOf(OwnInstance, {{5}, 1}, 7);
-  const auto Tell = [&](std::chrono::milliseconds Age) {
-    Of.receiveBatch(localRelay(0), {StateBatchFormat, Here, {{Said, Age}}},
+  const SpreadState State = stateOf(OwnInstance, {{5}, 1}, 7);
+  const auto Send = [&](std::chrono::milliseconds Age) {
+    Of.receiveBatch(localRelay(0), {StateBatchFormat, Here, {{State, Age}}},
                     Start + 1s);
     return Of.find(OwnInstance)->m_AsOf;
   };
-  EXPECT_EQ(Tell(100ms), Start + 900ms);
-  EXPECT_EQ(Tell(200ms), Start + 800ms);
-  EXPECT_EQ(Tell(50ms), Start + 800ms);
+  EXPECT_EQ(Send(100ms), Start + 900ms);
+  EXPECT_EQ(Send(200ms), Start + 800ms);
+  EXPECT_EQ(Send(50ms), Start + 800ms);
 }
 
 /// A path by which a state reaches an entry.
@@ -57,23 +57,25 @@
 void PrintTo(const Way &Value, std::ostream *Out) { *Out << Value.m_Name; }
 
 void receiveFrom(StateSpread &By, const InstanceId &From,
-                 const SpreadState &Said, TimePoint Now) {
-  By.receiveBatch(From, {StateBatchFormat, Here, {{Said, 0ms}}}, Now);
+                 const SpreadState &State, TimePoint Now) {
+  By.receiveBatch(From, {StateBatchFormat, Here, {{State, 0ms}}}, Now);
 }
 
 const Way Ways[] = {
-    {"Agent", [](StateSpread &By, const SpreadState &Said,
-                 TimePoint Now) { By.receiveReport(Said, Now); }},
+    {"Agent", [](StateSpread &By, const SpreadState &State,
+                 TimePoint Now) { By.receiveReport(State, Now); }},
     {"LocalRelay",
-     [](StateSpread &By, const SpreadState &Said, TimePoint Now) {
-       receiveFrom(By, localRelay(0), Said, Now);
+     [](StateSpread &By, const SpreadState &State, TimePoint Now) {
+       receiveFrom(By, localRelay(0), State, Now);
      }},
     {"RemoteRelay",
-     [](StateSpread &By, const SpreadState &Said, TimePoint Now) {
-       receiveFrom(By, remoteRelay(0), Said, Now);
+     [](StateSpread &By, const SpreadState &State, TimePoint Now) {
+       receiveFrom(By, remoteRelay(0), State, Now);
+     }},
+    {"Unknown",
+     [](StateSpread &By, const SpreadState &State, TimePoint Now) {
+       receiveFrom(By, {"unknown"}, State, Now);
      }},
-    {"Unknown", [](StateSpread &By, const SpreadState &Said,
-                   TimePoint Now) { receiveFrom(By, {"unknown"}, Said, Now); }},
 };
 
 class StateSpreadDelivery : public testing::TestWithParam<Way> {};
@@ -137,10 +139,10 @@
 
 TEST_P(StateSpreadRefusal, RejectsAndCounts) {
   StateSpread Of = plainEntry();
-  StateBatch Told{StateBatchFormat, There, {}};
-  Told.m_States.push_back({stateOf(RemoteInstance, {{5}, 1}, 7), 100ms});
-  GetParam().m_Corrupt(Told);
-  Of.receiveBatch(remoteRelay(0), Told, Start);
+  StateBatch Received{StateBatchFormat, There, {}};
+  Received.m_States.push_back({stateOf(RemoteInstance, {{5}, 1}, 7), 100ms});
+  GetParam().m_Corrupt(Received);
+  Of.receiveBatch(remoteRelay(0), Received, Start);
   EXPECT_EQ(Of.find(RemoteInstance), std::nullopt);
   EXPECT_EQ(Of.find("10.9.9.9:1"), std::nullopt);
   EXPECT_EQ(Of.refusedStates(), GetParam().m_Count);
