--- a/include/deckpitch/applied-history.h
+++ b/include/deckpitch/applied-history.h
@@ -32,7 +32,7 @@
 public:
   explicit AppliedHistory(std::size_t MaxChanges) : m_MaxChanges(MaxChanges) {}
 
-  void note(Duration At, const DeclarationSet &Published);
+  void record(Duration At, const DeclarationSet &Published);
   /// The most recent changes, oldest first.
   const std::deque<AppliedChange> &changes() const { return m_Changes; }
   /// The number of all changes, including those dropped from changes().
--- a/include/deckpitch/back-off.h
+++ b/include/deckpitch/back-off.h
@@ -9,7 +9,7 @@
 
 namespace deckpitch {
 
-inline constexpr std::chrono::milliseconds FirstBackOff{250};
+inline constexpr std::chrono::milliseconds InitialBackOff{250};
 inline constexpr std::chrono::milliseconds MaxBackOff{15'000};
 
 /// The delay after a number of consecutive failures: doubles with each one, up
@@ -17,7 +17,7 @@
 inline Duration backOff(unsigned Failures) {
   constexpr unsigned MaxDoublings = 6;
   const Duration Unlimited =
-      FirstBackOff * (1U << std::min(Failures, MaxDoublings));
+      InitialBackOff * (1U << std::min(Failures, MaxDoublings));
   return std::min<Duration>(Unlimited, MaxBackOff);
 }
 
--- a/include/deckpitch/declaration-store.h
+++ b/include/deckpitch/declaration-store.h
@@ -72,7 +72,7 @@
   DeclarationUpdate changesSince(Revision Have) const;
   /// Returns an update without objects, which advances the revision of a
   /// replica with the same digest.
-  DeclarationUpdate completion() const;
+  DeclarationUpdate revisionUpdate() const;
   /// Returns everything, for a replica that differs in spite of its revision.
   DeclarationUpdate whole() const;
 
--- a/include/deckpitch/event-stream.h
+++ b/include/deckpitch/event-stream.h
@@ -25,7 +25,7 @@
   void add(std::string_view Bytes) { m_Pending += Bytes; }
   std::optional<StreamEvent> next();
   /// Whether part of an incomplete event is buffered.
-  bool holdsPart() const { return !m_Pending.empty(); }
+  bool hasPartialEvent() const { return !m_Pending.empty(); }
   /// The buffered part of the incomplete event.
   const std::string &part() const { return m_Pending; }
   void clear() {
--- a/include/deckpitch/harmful-requests.h
+++ b/include/deckpitch/harmful-requests.h
@@ -63,18 +63,19 @@
   /// Records a complete answer, which clears the request's losses.
   void answered(const RequestFingerprint &Request, TimePoint Now);
   /// Merges an update of another process. Returns the same as lost().
-  bool hear(const SuspectRequest &Update, TimePoint Now);
+  bool receive(const SuspectRequest &Update, TimePoint Now);
 
   /// When the refusal of the request ends; nullopt if it is not refused.
   std::optional<TimePoint> refusedUntil(const RequestFingerprint &Request,
                                         TimePoint Now) const;
   /// The number of successive losses.
-  std::size_t lossesOf(const RequestFingerprint &Request) const;
+  std::size_t lossCount(const RequestFingerprint &Request) const;
 
   /// Updates to send to other processes now: recent changes, repeated in case a
   /// message is lost, and all refused requests, for processes that have just
   /// started. Returns at most MaxCount, refused requests first.
-  std::vector<SuspectRequest> toTell(std::size_t MaxCount, TimePoint Now) const;
+  std::vector<SuspectRequest> updatesToSend(std::size_t MaxCount,
+                                            TimePoint Now) const;
   /// Removes expired losses; to be called periodically.
   void forgetOld(TimePoint Now);
   std::size_t size() const { return m_Suspects.size(); }
--- a/include/deckpitch/name.h
+++ b/include/deckpitch/name.h
@@ -8,9 +8,9 @@
 /// Whether the text is a valid name. Names become parts of paths and weights
 /// ids, so few characters are allowed; names of dots alone would have a special
 /// meaning in a path.
-bool isGoodName(std::string_view Name);
+bool isValidName(std::string_view Name);
 
-inline constexpr const char *GoodNameExpected =
+inline constexpr const char *ValidNameExpected =
     "at most 100 letters, digits, '-', '_' or '.', and not dots alone";
 
 } // namespace deckpitch
--- a/include/deckpitch/request-gate.h
+++ b/include/deckpitch/request-gate.h
@@ -21,8 +21,8 @@
 };
 
 /// Why a request may not run on this instance; nullopt if it may.
-std::optional<std::string_view> refusalOf(const RequestBinding &Bound,
-                                          const ServingReport &Serving,
-                                          Incarnation Own, bool Leaving);
+std::optional<std::string_view> refusalReason(const RequestBinding &Bound,
+                                              const ServingReport &Serving,
+                                              Incarnation Own, bool Leaving);
 
 } // namespace deckpitch
--- a/include/deckpitch/retry.h
+++ b/include/deckpitch/retry.h
@@ -11,7 +11,7 @@
 
 /// How one attempt at one upstream ended.
 enum class AttemptEnd {
-  Whole,       ///< the complete answer was received
+  Complete,    ///< the complete answer was received
   Refused,     ///< the upstream's agent confirms that the request did not run
   Unreachable, ///< the request cannot have reached the instance
   Lost,        ///< no complete answer, and the request may have run
@@ -47,7 +47,7 @@
 /// upstream. Short while another upstream serves its weights, since a rollout
 /// may soon replace them; long if there is none, or if so many streams stall
 /// that moving them would add load.
-std::chrono::milliseconds stallLimit(bool OtherUpstream, bool BudgetIsLow);
+std::chrono::milliseconds stallTimeout(bool OtherUpstream, bool BudgetIsLow);
 
 /// Limits retries to a share of fresh requests, which prevents retry storms:
 /// over any period, retries <= share * fresh + burst. Thread-safe.
@@ -61,7 +61,7 @@
   bool withdraw();
   /// Whether less than half of the budget is left, that is, many attempts are
   /// being lost.
-  bool strained() const;
+  bool isLow() const;
 
 private:
   static constexpr std::int64_t Unit = 1'000;
--- a/include/deckpitch/upstream-choice.h
+++ b/include/deckpitch/upstream-choice.h
@@ -13,19 +13,19 @@
 
 /// The state of an upstream when an attempt is to be sent.
 struct Candidate {
-  std::size_t m_Index = 0; ///< assigned by the caller
-  std::uint32_t m_Own = 0; ///< in flight from this entry, exact
-  double m_Others = 0;     ///< in flight from other entries, last reported
-  double m_Limit = 1;      ///< concurrent requests it can take from all entries
-  double m_OwnLimit = 1;   ///< limit that this entry has learned for itself
+  std::size_t m_Index = 0;         ///< assigned by the caller
+  std::uint32_t m_OwnInFlight = 0; ///< in flight from this entry, exact
+  double m_OthersInFlight = 0; ///< in flight from other entries, last reported
+  double m_Limit = 1;    ///< concurrent requests it can take from all entries
+  double m_OwnLimit = 1; ///< limit that this entry has learned for itself
   std::uint64_t m_Rank =
       0;                  ///< rank for the prompt's prefix; 0 without a prefix
-  bool m_Near = false;    ///< in the same data centre
+  bool m_IsLocal = false; ///< in the same data centre
   bool m_Suspect = false; ///< heartbeats are late
   bool m_Ejected = false; ///< recently failed repeatedly
 
-  double load() const { return (m_Own + m_Others) / m_Limit; }
-  bool hasFreeCapacity() const { return m_Own < m_OwnLimit; }
+  double load() const { return (m_OwnInFlight + m_OthersInFlight) / m_Limit; }
+  bool hasFreeCapacity() const { return m_OwnInFlight < m_OwnLimit; }
 };
 
 /// Excludes an upstream that fails repeatedly from the choice, for a period
--- a/src/ctl/resource.cc
+++ b/src/ctl/resource.cc
@@ -29,8 +29,8 @@
       [&](JsonObjectReader &Inner) {
         Inner.required("name", Out.m_Name);
         // The name becomes part of the request's path before the entry sees it.
-        if (!Out.m_Name.empty() && !isGoodName(Out.m_Name))
-          Inner.problem("name", GoodNameExpected);
+        if (!Out.m_Name.empty() && !isValidName(Out.m_Name))
+          Inner.problem("name", ValidNameExpected);
       },
       UnknownKeys::Ignore);
   if (Value.is_object() && !Reader.has("value"))
--- a/src/daemon/agent-requests.cc
+++ b/src/daemon/agent-requests.cc
@@ -151,8 +151,8 @@
   // request sees it.
   const CountGuard Counted(m_Process.m_InFlight);
   const auto Refusal =
-      refusalOf(Bound.m_Binding, *m_Process.m_Serving.load(),
-                m_Process.m_Incarnation, m_Process.m_Leaving.load());
+      refusalReason(Bound.m_Binding, *m_Process.m_Serving.load(),
+                    m_Process.m_Incarnation, m_Process.m_Leaving.load());
   if (Refusal) {
     m_Refused.fetch_add(1, std::memory_order_relaxed);
     co_await Answer.send(
--- a/src/daemon/declarations-exchange.cc
+++ b/src/daemon/declarations-exchange.cc
@@ -102,7 +102,7 @@
   if (m_Store.digest() != ContentBefore)
     m_OnChange(m_Store.changesSince(Before));
   else if (Completed)
-    m_OnChange(m_Store.completion());
+    m_OnChange(m_Store.revisionUpdate());
 }
 
 void DeclarationExchange::tick() {
@@ -120,7 +120,7 @@
   m_Process.m_Declarations.publish(
       std::make_shared<const DeclarationSet>(m_Store.snapshot()));
   m_Process.m_DeclarationsDigest.store(m_Store.digest());
-  m_History.note(now() - m_Began, m_Store.snapshot());
+  m_History.record(now() - m_Began, m_Store.snapshot());
 }
 
 void DeclarationExchange::onUpdate(const wire::Envelope &Message,
@@ -158,7 +158,7 @@
         return Store.applyUpdate({Theirs, Theirs, false, Digest, {}});
       });
     else if (Theirs < m_Store.newest() && Theirs < Mine)
-      send(Address, m_Store.completion());
+      send(Address, m_Store.revisionUpdate());
     return;
   }
   const bool Whole = ++Of.m_Differences >= DifferencesBeforeWhole;
--- a/src/daemon/declarations-follower.cc
+++ b/src/daemon/declarations-follower.cc
@@ -108,7 +108,7 @@
         replicatedKinds(), Since,
         [this](const net::PlatformEvent &Event) { return onEvent(Event); });
     if (!m_Stopping)
-      co_await pause(m_WatchTimer, jittered(FirstBackOff * 4, m_Random));
+      co_await pause(m_WatchTimer, jittered(InitialBackOff * 4, m_Random));
   }
 }
 
--- a/src/daemon/entry-chat.cc
+++ b/src/daemon/entry-chat.cc
@@ -123,7 +123,7 @@
       m_Hints.noteRefusal(*To);
     if (m_Gone)
       co_return RequestOutcome::Unknown;
-    if (End == AttemptEnd::Whole)
+    if (End == AttemptEnd::Complete)
       co_return co_await finish();
     if (!mayRetry(m_Context, m_Call, m_Attempts, End))
       break;
@@ -211,7 +211,7 @@
   const AttemptEnd Told = attemptEndOf(Stream.headers(), m_Call.m_Id);
   if (Told == AttemptEnd::Lost)
     Counters->failed(To.m_Instance);
-  if (Told != AttemptEnd::Whole)
+  if (Told != AttemptEnd::Complete)
     co_return Told;
   Counters->answered(now() - SentAt);
   if (Stream.status() != 200)
@@ -239,7 +239,7 @@
       m_Call.m_Terms.m_Idempotent &&
       pickUpstream(*m_Routes, *m_Pool,
                    m_Context.m_Process.m_Settings.m_DataCentre, Others);
-  return stallLimit(CanMove, m_Context.m_RetryBudget.strained());
+  return stallTimeout(CanMove, m_Context.m_RetryBudget.isLow());
 }
 
 asio::awaitable<AttemptEnd> ChatCall::readStream(net::HttpStream &Stream,
@@ -252,7 +252,7 @@
     if (!Piece || m_Gone)
       co_return AttemptEnd::Lost;
     if (Piece->empty())
-      co_return Checker.finished() ? AttemptEnd::Whole : AttemptEnd::Lost;
+      co_return Checker.finished() ? AttemptEnd::Complete : AttemptEnd::Lost;
     const StreamStep Step = Checker.feed(*Piece);
     m_Context.m_Counters.m_Tokens.fetch_add(Checker.nextIndex() - m_NextIndex,
                                             std::memory_order_relaxed);
@@ -305,7 +305,7 @@
   Response.m_Headers.add(header::ContentType, std::string(Stream.headers().find(
                                                   header::ContentType)));
   m_PassedOn = std::move(Response);
-  co_return AttemptEnd::Whole;
+  co_return AttemptEnd::Complete;
 }
 
 asio::awaitable<RequestOutcome> ChatCall::finish() {
--- a/src/daemon/entry-context.cc
+++ b/src/daemon/entry-context.cc
@@ -113,7 +113,7 @@
     return AttemptEnd::Refused;
   if (Outcome == RequestOutcome::Unknown)
     return AttemptEnd::Lost;
-  return AttemptEnd::Whole;
+  return AttemptEnd::Complete;
 }
 
 bool mayRetry(EntryContext &In, const CallerRequest &Call,
--- a/src/daemon/entry-keyed.cc
+++ b/src/daemon/entry-keyed.cc
@@ -133,7 +133,7 @@
   if (now() >= m_Call.m_Deadline)
     co_return resultOf(RequestOutcome::NotRun, "the deadline passed");
   const AttemptEnd End = co_await m_Sender.sendClaimed(m_Routes, To, Claimed);
-  if (End == AttemptEnd::Whole)
+  if (End == AttemptEnd::Complete)
     co_return resultOf(RequestOutcome::Answered, "");
   if (End == AttemptEnd::Lost) {
     std::optional<KeyedResult> Told = co_await consult(Claimed);
--- a/src/daemon/entry-routes.cc
+++ b/src/daemon/entry-routes.cc
@@ -49,12 +49,12 @@
                                           Counters.m_InFlightAtReport.load());
   const double Limit =
       Route.m_Load.m_Limit > 0 ? Route.m_Load.m_Limit : DefaultLimit;
-  return {.m_Own = Own,
-          .m_Others = Others,
+  return {.m_OwnInFlight = Own,
+          .m_OthersInFlight = Others,
           .m_Limit = Limit,
           .m_OwnLimit = Counters.limit(),
           .m_Rank = rankOf(Route, Hints.m_PrefixHash),
-          .m_Near = Route.m_DataCentre == Home,
+          .m_IsLocal = Route.m_DataCentre == Home,
           .m_Suspect = Route.m_Suspect,
           .m_Ejected = Counters.ejected(now())};
 }
--- a/src/daemon/entry-service.cc
+++ b/src/daemon/entry-service.cc
@@ -75,7 +75,7 @@
       break;
     const AttemptEnd End = co_await attempt(*To);
     MayHaveRun = MayHaveRun || End == AttemptEnd::Lost;
-    if (End == AttemptEnd::Whole)
+    if (End == AttemptEnd::Complete)
       co_return co_await answer(RequestOutcome::Answered,
                                 std::move(m_Response));
     if (!mayRetry(m_Context, m_Call, m_Attempts, End))
@@ -123,7 +123,7 @@
   const AttemptEnd End = attemptEndOf(Got->m_Headers, m_Call.m_Id);
   if (End == AttemptEnd::Lost)
     Counters->failed(To.m_Instance);
-  if (End == AttemptEnd::Whole) {
+  if (End == AttemptEnd::Complete) {
     Counters->answered(now() - SentAt);
     m_Response.m_Status = Got->m_Status;
     m_Response.m_Body = std::move(Got->m_Body);
--- a/src/direct/entry.cc
+++ b/src/direct/entry.cc
@@ -327,9 +327,9 @@
     m_Peers.heard(Message, From, Now);
   const NewsOrigin Origin{From, m_Peers.isNear(From), Late};
   if (Message.has_hello())
-    m_Harmful.hear(Message.hello(), From);
+    m_Harmful.receive(Message.hello(), From);
   if (Message.has_hello() && Message.hello().has_known())
-    m_Follower.hear(Message.hello().known(), Origin);
+    m_Follower.receive(Message.hello().known(), Origin);
   if (!Message.has_news())
     return;
   if (Late > LateUpdateThreshold && Now >= Known.m_NextLateLog) {
@@ -340,7 +340,7 @@
                std::uint64_t(
                    std::chrono::duration_cast<milliseconds>(Late).count())}});
   }
-  m_Follower.hear(Message.news(), Origin);
+  m_Follower.receive(Message.news(), Origin);
 }
 
 /// Link address of an instance's agent, which listens on the same host.
@@ -459,7 +459,7 @@
     return;
   }
   m_Peers.learn(Known->m_Address);
-  m_Harmful.hear(Known->m_Refused, Record.m_Name);
+  m_Harmful.receive(Known->m_Refused, Record.m_Name);
 }
 
 /// Writes this entry's record; true if the store holds the current record.
--- a/src/direct/fleet-follower.h
+++ b/src/direct/fleet-follower.h
@@ -77,7 +77,7 @@
   /// Sets this entry's rank among the readers; see SharedReading.
   void setRank(ReadRank Turn);
   /// Handles an update from another entry.
-  void hear(const wire::StoreNews &News, const NewsOrigin &From);
+  void receive(const wire::StoreNews &News, const NewsOrigin &From);
   /// Versions and ages of all that is known here, without the texts, from which
   /// others see whether they have missed an update.
   wire::StoreNews digest();
--- a/src/direct/fleet-news.cc
+++ b/src/direct/fleet-news.cc
@@ -56,7 +56,8 @@
     Reading.confirm(*AsOf, Announced.m_IsRelayed);
 }
 
-void FleetFollower::hear(const wire::StoreNews &News, const NewsOrigin &From) {
+void FleetFollower::receive(const wire::StoreNews &News,
+                            const NewsOrigin &From) {
   checkForPause();
   const TimePoint Now = now();
   if (News.has_declaration())
--- a/src/direct/harmful-watch.cc
+++ b/src/direct/harmful-watch.cc
@@ -68,7 +68,7 @@
   m_Refused.insert(Request);
   net::log(Event::RequestHarmful,
            {{"fingerprint", textOf(Request)},
-            {"losses", std::uint64_t{m_Known.lossesOf(Request)}},
+            {"losses", std::uint64_t{m_Known.lossCount(Request)}},
             {"from", From}});
 }
 
@@ -80,7 +80,7 @@
            {{"request", AttemptId},
             {"fingerprint", textOf(Request)},
             {"instance", At.m_Text},
-            {"losses", std::uint64_t{m_Known.lossesOf(Request)}}});
+            {"losses", std::uint64_t{m_Known.lossCount(Request)}}});
   if (!IsRefusedNow)
     return;
   m_HasNewFinding = true;
@@ -100,27 +100,27 @@
   return *Until - Now;
 }
 
-void HarmfulRequestTracker::hear(const wire::EntryHello &Received,
-                                 const std::string &From) {
+void HarmfulRequestTracker::receive(const wire::EntryHello &Received,
+                                    const std::string &From) {
   const TimePoint Now = now();
   for (const wire::SuspectRequestState &Each : Received.suspects())
-    hear(read(Each, Now), From);
+    receive(read(Each, Now), From);
 }
 
-void HarmfulRequestTracker::hear(const SuspectRequest &Received,
-                                 const std::string &From) {
+void HarmfulRequestTracker::receive(const SuspectRequest &Received,
+                                    const std::string &From) {
   const TimePoint Now = now();
-  if (!m_Known.hear(Received, Now))
+  if (!m_Known.receive(Received, Now))
     return;
   // To be announced only if the received losses alone do not show it, so that
   // only this entry has combined them with others.
   HarmfulRequests Alone;
-  m_HasNewFinding = m_HasNewFinding || !Alone.hear(Received, Now);
+  m_HasNewFinding = m_HasNewFinding || !Alone.receive(Received, Now);
   recordRefusal(Received.m_Request, From);
 }
 
-void HarmfulRequestTracker::hear(const std::vector<RefusedRequest> &Stored,
-                                 const std::string &From) {
+void HarmfulRequestTracker::receive(const std::vector<RefusedRequest> &Stored,
+                                    const std::string &From) {
   const std::uint64_t UnixNow = daemon::unixMs();
   for (const RefusedRequest &Each : Stored) {
     // The clock may have been set back since.
@@ -133,7 +133,7 @@
       Received.m_Losses.push_back({Instance, At, At, /*m_IsCleared=*/false});
       At -= milliseconds(1); // Losses count only one after the other.
     }
-    hear(Received, From);
+    receive(Received, From);
   }
 }
 
@@ -141,7 +141,8 @@
   const TimePoint Now = now();
   const std::uint64_t UnixNow = daemon::unixMs();
   std::vector<RefusedRequest> Out;
-  for (const SuspectRequest &Each : m_Known.toTell(MaxStoredSuspects, Now)) {
+  for (const SuspectRequest &Each :
+       m_Known.updatesToSend(MaxStoredSuspects, Now)) {
     if (!m_Known.refusedUntil(Each.m_Request, Now))
       continue;
     RefusedRequest Stored{Each.m_Request, {}, 0};
@@ -158,7 +159,8 @@
 
 void HarmfulRequestTracker::addTo(wire::EntryHello &To) const {
   const TimePoint Now = now();
-  for (const SuspectRequest &Each : m_Known.toTell(MaxHelloSuspects, Now))
+  for (const SuspectRequest &Each :
+       m_Known.updatesToSend(MaxHelloSuspects, Now))
     write(Each, Now, *To.add_suspects());
 }
 
--- a/src/direct/harmful-watch.h
+++ b/src/direct/harmful-watch.h
@@ -27,18 +27,19 @@
   /// Whether an instance was lost while it ran the request, and the request has
   /// not been answered since.
   bool isSuspect(const RequestFingerprint &Request) const {
-    return m_Known.lossesOf(Request) > 0;
+    return m_Known.lossCount(Request) > 0;
   }
   /// Returns how much longer the request is refused; nullopt if it is not.
   std::optional<Duration> refusedFor(const RequestFingerprint &Request) const;
 
   /// Merges the suspects that another entry's hello reports.
-  void hear(const wire::EntryHello &Received, const std::string &From);
+  void receive(const wire::EntryHello &Received, const std::string &From);
   /// Adds this entry's suspects to a hello.
   void addTo(wire::EntryHello &To) const;
   /// Merges the refused requests in an entry's stored object, which may be this
   /// entry's own from before its restart.
-  void hear(const std::vector<RefusedRequest> &Stored, const std::string &From);
+  void receive(const std::vector<RefusedRequest> &Stored,
+               const std::string &From);
   /// Returns the refused requests to be stored.
   std::vector<RefusedRequest> toStore() const;
   /// Returns true once after this entry found a request to be harmful, which it
@@ -49,7 +50,7 @@
   std::size_t refusedCount() const { return m_Refused.size(); }
 
 private:
-  void hear(const SuspectRequest &Received, const std::string &From);
+  void receive(const SuspectRequest &Received, const std::string &From);
   void recordRefusal(const RequestFingerprint &Request,
                      const std::string &From);
 
--- a/src/kernel/applied-history.cc
+++ b/src/kernel/applied-history.cc
@@ -24,7 +24,7 @@
 
 } // namespace
 
-void AppliedHistory::note(Duration At, const DeclarationSet &Published) {
+void AppliedHistory::record(Duration At, const DeclarationSet &Published) {
   std::map<std::string, Revision> Next = revisionsOf(Published);
   for (const auto &[Object, Before] : m_InForce)
     if (!Next.contains(Object))
--- a/src/kernel/declaration-store.cc
+++ b/src/kernel/declaration-store.cc
@@ -177,7 +177,7 @@
   return Update;
 }
 
-DeclarationUpdate DeclarationStore::completion() const {
+DeclarationUpdate DeclarationStore::revisionUpdate() const {
   return {revision(), revision(), false, m_Digest, {}};
 }
 
--- a/src/kernel/declaration.cc
+++ b/src/kernel/declaration.cc
@@ -19,8 +19,8 @@
 /// already reported if the name is required.
 void checkName(JsonObjectReader &Reader, std::string_view Key,
                const std::string &Name) {
-  if (!Name.empty() && !isGoodName(Name))
-    Reader.problem(Key, GoodNameExpected);
+  if (!Name.empty() && !isValidName(Name))
+    Reader.problem(Key, ValidNameExpected);
 }
 
 void readReadiness(JsonObjectReader &Reader, Problems &Found,
@@ -59,7 +59,7 @@
 
 } // namespace
 
-bool isGoodName(std::string_view Name) {
+bool isValidName(std::string_view Name) {
   return Name.size() <= MaxNameBytes &&
          Name.find_first_not_of(NameCharacters) == std::string_view::npos &&
          Name.find_first_not_of('.') != std::string_view::npos;
--- a/src/kernel/harmful-requests.cc
+++ b/src/kernel/harmful-requests.cc
@@ -126,7 +126,8 @@
   return Found->second.refusedUntil(Now);
 }
 
-std::size_t HarmfulRequests::lossesOf(const RequestFingerprint &Request) const {
+std::size_t
+HarmfulRequests::lossCount(const RequestFingerprint &Request) const {
   const auto Found = m_Suspects.find(Request);
   return Found == m_Suspects.end() ? 0 : Found->second.count();
 }
@@ -152,7 +153,7 @@
 bool HarmfulRequests::lost(const RequestFingerprint &Request,
                            const InstanceId &At, TimePoint Sent,
                            TimePoint Now) {
-  return hear({Request, {{hashOf(At), Sent, Now, false}}}, Now);
+  return receive({Request, {{hashOf(At), Sent, Now, false}}}, Now);
 }
 
 void HarmfulRequests::answered(const RequestFingerprint &Request,
@@ -175,7 +176,7 @@
          (Age < AnsweredPeriod && m_AnsweredBefore.contains(Request));
 }
 
-bool HarmfulRequests::hear(const SuspectRequest &Update, TimePoint Now) {
+bool HarmfulRequests::receive(const SuspectRequest &Update, TimePoint Now) {
   if (m_Suspects.size() >= MaxSuspects &&
       !m_Suspects.contains(Update.m_Request))
     evictSuspects(Now);
@@ -189,8 +190,8 @@
   return !WasRefused && Known.refusedUntil(Now);
 }
 
-std::vector<SuspectRequest> HarmfulRequests::toTell(std::size_t MaxCount,
-                                                    TimePoint Now) const {
+std::vector<SuspectRequest>
+HarmfulRequests::updatesToSend(std::size_t MaxCount, TimePoint Now) const {
   std::vector<const std::pair<const RequestFingerprint, Suspect> *> Due;
   for (const auto &Each : m_Suspects)
     if (Each.second.isDueToSend(Now))
--- a/src/kernel/request-gate.cc
+++ b/src/kernel/request-gate.cc
@@ -2,9 +2,9 @@
 
 namespace deckpitch {
 
-std::optional<std::string_view> refusalOf(const RequestBinding &Bound,
-                                          const ServingReport &Serving,
-                                          Incarnation Own, bool Leaving) {
+std::optional<std::string_view> refusalReason(const RequestBinding &Bound,
+                                              const ServingReport &Serving,
+                                              Incarnation Own, bool Leaving) {
   if (Leaving)
     return "the instance is leaving";
   if (Bound.m_Incarnation != Own)
--- a/src/kernel/retry.cc
+++ b/src/kernel/retry.cc
@@ -21,7 +21,7 @@
 } // namespace
 
 NextStep afterAttempt(AttemptEnd End, const CallState &State) {
-  if (End == AttemptEnd::Whole)
+  if (End == AttemptEnd::Complete)
     return NextStep::Deliver;
   if (mayTryAnother(End, State))
     return NextStep::TryAnother;
@@ -30,7 +30,7 @@
   return State.m_Fenceable ? NextStep::Fence : NextStep::Unknown;
 }
 
-std::chrono::milliseconds stallLimit(bool OtherUpstream, bool BudgetIsLow) {
+std::chrono::milliseconds stallTimeout(bool OtherUpstream, bool BudgetIsLow) {
   return OtherUpstream && !BudgetIsLow ? ShortStallTimeout : LongStallTimeout;
 }
 
@@ -57,7 +57,7 @@
   return false;
 }
 
-bool RetryBudget::strained() const {
+bool RetryBudget::isLow() const {
   return m_Level.load(std::memory_order_relaxed) < m_MaxLevel / 2;
 }
 
--- a/src/kernel/upstream-choice.cc
+++ b/src/kernel/upstream-choice.cc
@@ -65,7 +65,7 @@
   const auto WithFreeCapacity = keepIf(
       Healthy, [](const Candidate &Each) { return Each.hasFreeCapacity(); });
   auto Local = keepIf(WithFreeCapacity,
-                      [](const Candidate &Each) { return Each.m_Near; });
+                      [](const Candidate &Each) { return Each.m_IsLocal; });
   if (!Local.empty())
     return Local;
   return WithFreeCapacity.empty() ? Healthy : WithFreeCapacity;
--- a/support/fuzz/events-target.cc
+++ b/support/fuzz/events-target.cc
@@ -33,7 +33,7 @@
     takeWhole(Splitter, Out);
   }
   Out.m_Part = Splitter.part();
-  require(Splitter.holdsPart() == !Out.m_Part.empty(),
+  require(Splitter.hasPartialEvent() == !Out.m_Part.empty(),
           "a part is held where some of an event has come");
   return Out;
 }
--- a/test/admission-test.cc
+++ b/test/admission-test.cc
@@ -198,14 +198,14 @@
 // replaced; in a pool that stalls as a whole, moving streams only adds load.
 TEST(RetryBudget, StreamsMoveEarlyOnlyWhileFewAttemptsAreLost) {
   RetryBudget Budget(0.1, 4);
-  const auto Early = stallLimit(true, Budget.strained());
-  EXPECT_LT(Early, stallLimit(false, Budget.strained()));
+  const auto Early = stallTimeout(true, Budget.isLow());
+  EXPECT_LT(Early, stallTimeout(false, Budget.isLow()));
   for (int I = 0; I < 3; ++I)
     EXPECT_TRUE(Budget.withdraw());
-  EXPECT_EQ(stallLimit(true, Budget.strained()), stallLimit(false, false));
+  EXPECT_EQ(stallTimeout(true, Budget.isLow()), stallTimeout(false, false));
   for (int I = 0; I < 10; ++I)
     Budget.deposit();
-  EXPECT_EQ(stallLimit(true, Budget.strained()), Early);
+  EXPECT_EQ(stallTimeout(true, Budget.isLow()), Early);
 }
 
 struct StepCase {
@@ -233,7 +233,7 @@
   CallState Often = Free;
   Often.m_Attempts = MaxAttempts;
   const StepCase Cases[] = {
-      {"whole", AttemptEnd::Whole, Once, NextStep::Deliver},
+      {"whole", AttemptEnd::Complete, Once, NextStep::Deliver},
       {"lost", AttemptEnd::Lost, Free, NextStep::TryAnother},
       {"lost once", AttemptEnd::Lost, Once, NextStep::Unknown},
       {"lost keyed", AttemptEnd::Lost, Keyed, NextStep::Fence},
@@ -256,12 +256,12 @@
   std::vector<Candidate> All;
   for (std::size_t I = 0; I < 6; ++I)
     All.push_back(
-        {.m_Index = I, .m_Limit = 10, .m_OwnLimit = 10, .m_Near = I < 3});
+        {.m_Index = I, .m_Limit = 10, .m_OwnLimit = 10, .m_IsLocal = I < 3});
   All[0].m_Ejected = true;
   All[1].m_Suspect = true;
   for (int I = 0; I < 20; ++I)
     EXPECT_EQ(chooseUpstream(All, Random), 2u);
-  All[2].m_Own = 10;
+  All[2].m_OwnInFlight = 10;
   for (int I = 0; I < 20; ++I)
     EXPECT_GE(*chooseUpstream(All, Random), 3u);
   for (Candidate &Each : All)
@@ -275,13 +275,13 @@
   std::vector<Candidate> All;
   for (std::size_t I = 0; I < 4; ++I)
     All.push_back({.m_Index = I,
-                   .m_Own = 2,
+                   .m_OwnInFlight = 2,
                    .m_Limit = 10,
                    .m_OwnLimit = 10,
                    .m_Rank = I + 1});
   for (int I = 0; I < 20; ++I)
     EXPECT_EQ(chooseUpstream(All, Random), 3u);
-  All[3].m_Own = 9;
+  All[3].m_OwnInFlight = 9;
   for (int I = 0; I < 20; ++I)
     EXPECT_LT(*chooseUpstream(All, Random), 3u);
 }
--- a/test/declaration-store-test.cc
+++ b/test/declaration-store-test.cc
@@ -140,7 +140,7 @@
   DeclarationStore Other;
   Other.applyUpdate(Holder.whole());
   listAll(Holder, 40, {pool("chat", 9)});
-  EXPECT_EQ(Other.applyUpdate(Holder.completion()), Effect::Changed);
+  EXPECT_EQ(Other.applyUpdate(Holder.revisionUpdate()), Effect::Changed);
   EXPECT_EQ(Other.revision(), Revision{40});
 }
 
--- a/test/event-stream-test.cc
+++ b/test/event-stream-test.cc
@@ -37,10 +37,10 @@
   Splitter.add("id: 1\n\nid: 2\ndata: x");
   EXPECT_EQ(Splitter.next()->m_Id, 1U);
   EXPECT_FALSE(Splitter.next());
-  EXPECT_TRUE(Splitter.holdsPart());
+  EXPECT_TRUE(Splitter.hasPartialEvent());
   EXPECT_EQ(Splitter.part(), "id: 2\ndata: x");
   Splitter.clear();
-  EXPECT_FALSE(Splitter.holdsPart());
+  EXPECT_FALSE(Splitter.hasPartialEvent());
 }
 
 TEST(EventStream, EventWithoutNumericIdHasNoId) {
--- a/test/harmful-requests-test.cc
+++ b/test/harmful-requests-test.cc
@@ -48,14 +48,14 @@
   HarmfulRequests All;
   for (int I = 0; I < 10; ++I)
     lose(All, Harmless, instance(1), Start + I * 1s);
-  EXPECT_EQ(All.lossesOf(Harmless), 1U);
+  EXPECT_EQ(All.lossCount(Harmless), 1U);
 }
 
 TEST(HarmfulRequests, CompleteAnswerClearsLosses) {
   HarmfulRequests All;
   lose(All, Harmless, 2);
   All.answered(Harmless, Start + 3s);
-  EXPECT_EQ(All.lossesOf(Harmless), 0U);
+  EXPECT_EQ(All.lossCount(Harmless), 0U);
   EXPECT_FALSE(lose(All, Harmless, instance(8), Start + 4s));
   EXPECT_FALSE(lose(All, Harmless, instance(9), Start + 5s));
   EXPECT_FALSE(All.refusedUntil(Harmless, Start + 5s));
@@ -79,12 +79,12 @@
   for (int I = 0; I < 20; ++I)
     EXPECT_FALSE(
         All.lost(Harmless, instance(I), Start - I * 10ms, Start + I * 1ms));
-  EXPECT_EQ(All.lossesOf(Harmless), 1U);
+  EXPECT_EQ(All.lossCount(Harmless), 1U);
   // Simultaneous losses do not displace earlier ones either.
   EXPECT_FALSE(lose(All, Harmless, instance(20), Start + 1s));
   for (int I = 30; I < 50; ++I)
     All.lost(Harmless, instance(I), Start + 900ms, Start + 1s + I * 1ms);
-  EXPECT_EQ(All.lossesOf(Harmless), 2U);
+  EXPECT_EQ(All.lossCount(Harmless), 2U);
   EXPECT_TRUE(lose(All, Harmless, instance(21), Start + 2s));
 }
 
@@ -96,8 +96,9 @@
   Other.answered(Harmless, Start - 10s);
   lose(One, Harmless, 3);
   ASSERT_TRUE(One.refusedUntil(Harmless, Start + 3s));
-  EXPECT_FALSE(Other.hear(One.toTell(Many, Start + 3s)[0], Start + 3s));
-  One.hear(Other.toTell(Many, Start + 3s)[0], Start + 3s);
+  EXPECT_FALSE(
+      Other.receive(One.updatesToSend(Many, Start + 3s)[0], Start + 3s));
+  One.receive(Other.updatesToSend(Many, Start + 3s)[0], Start + 3s);
   EXPECT_FALSE(One.refusedUntil(Harmless, Start + 3s));
   // An old answer proves nothing, since other weights may be served by now.
   for (int I = 0; I < 3; ++I)
@@ -111,12 +112,12 @@
   HarmfulRequests Other;
   lose(One, Harmful, 2);
   lose(Other, Harmful, instance(5), Start + 2s);
-  const auto Updates = One.toTell(Many, Start + 2s);
+  const auto Updates = One.updatesToSend(Many, Start + 2s);
   ASSERT_EQ(Updates.size(), 1U);
-  EXPECT_TRUE(Other.hear(Updates[0], Start + 2s));
-  EXPECT_FALSE(Other.hear(Updates[0], Start + 2s));
+  EXPECT_TRUE(Other.receive(Updates[0], Start + 2s));
+  EXPECT_FALSE(Other.receive(Updates[0], Start + 2s));
   EXPECT_TRUE(Other.refusedUntil(Harmful, Start + 2s));
-  EXPECT_EQ(Other.lossesOf(Harmful), 3U);
+  EXPECT_EQ(Other.lossCount(Harmful), 3U);
 }
 
 /// Each message shifts the times by its delay. Updates that circulate must not
@@ -133,15 +134,15 @@
   TimePoint Now = Start + 67s;
   for (int I = 0; I < 300; ++I, Now += 300ms)
     for (auto [From, To] : {std::pair(&One, &Other), std::pair(&Other, &One)})
-      for (SuspectRequest Updates : From->toTell(Many, Now)) {
+      for (SuspectRequest Updates : From->updatesToSend(Many, Now)) {
         for (InstanceLoss &Each : Updates.m_Losses) {
           Each.m_Sent += 50ms;
           Each.m_At += 50ms;
         }
-        To->hear(Updates, Now);
+        To->receive(Updates, Now);
       }
   EXPECT_EQ(One.refusedUntil(Harmful, Now), Until);
-  EXPECT_EQ(Other.lossesOf(Harmful), 3U);
+  EXPECT_EQ(Other.lossCount(Harmful), 3U);
 }
 
 /// A clearance must reach an entry that knows only the losses, and must win
@@ -150,25 +151,25 @@
   HarmfulRequests One;
   HarmfulRequests Other;
   lose(One, Harmless, 2);
-  Other.hear(One.toTell(Many, Start + 2s)[0], Start + 2s);
-  const auto Before = Other.toTell(Many, Start + 2s);
+  Other.receive(One.updatesToSend(Many, Start + 2s)[0], Start + 2s);
+  const auto Before = Other.updatesToSend(Many, Start + 2s);
   One.answered(Harmless, Start + 3s);
-  Other.hear(One.toTell(Many, Start + 3s)[0], Start + 3s);
-  EXPECT_EQ(Other.lossesOf(Harmless), 0U);
-  One.hear(Before[0], Start + 4s);
-  EXPECT_EQ(One.lossesOf(Harmless), 0U);
+  Other.receive(One.updatesToSend(Many, Start + 3s)[0], Start + 3s);
+  EXPECT_EQ(Other.lossCount(Harmless), 0U);
+  One.receive(Before[0], Start + 4s);
+  EXPECT_EQ(One.lossCount(Harmless), 0U);
 }
 
 TEST(HarmfulRequests, SendsRecentChangesAndAllRefusedRequests) {
   HarmfulRequests All;
   lose(All, Harmful, 3);
   lose(All, Harmless, instance(1), Start + 2s);
-  EXPECT_EQ(All.toTell(Many, Start + 3s).size(), 2U);
-  const auto Later = All.toTell(Many, Start + 60s);
+  EXPECT_EQ(All.updatesToSend(Many, Start + 3s).size(), 2U);
+  const auto Later = All.updatesToSend(Many, Start + 60s);
   ASSERT_EQ(Later.size(), 1U);
   EXPECT_EQ(Later[0].m_Request, Harmful);
-  ASSERT_EQ(All.toTell(1, Start + 3s).size(), 1U);
-  EXPECT_EQ(All.toTell(1, Start + 3s)[0].m_Request, Harmful);
+  ASSERT_EQ(All.updatesToSend(1, Start + 3s).size(), 1U);
+  EXPECT_EQ(All.updatesToSend(1, Start + 3s)[0].m_Request, Harmful);
 }
 
 TEST(HarmfulRequests, IsBoundedAndKeepsRefusedRequests) {
