--- a/src/direct/adapter.h
+++ b/src/direct/adapter.h
@@ -24,7 +24,7 @@
   std::string m_AttemptId; ///< identifies this attempt of the caller
   std::string m_Key;       ///< API key of the organisation; never logged
   std::optional<std::chrono::milliseconds>
-      m_Patience;            ///< the caller's timeout, from its sending
+      m_CallerTimeout;       ///< the caller's timeout, from its sending
   std::string m_LastEventId; ///< the caller has the events up to this one
   std::string m_Model;       ///< empty: no model is named
   std::uint32_t m_PromptTokens = 0;
--- a/src/direct/entry-attempts.cc
+++ b/src/direct/entry-attempts.cc
@@ -40,7 +40,7 @@
   Of.m_Notice = {};
   Of.m_Sent = IsBegun ? Of.m_NextAnswer.m_Sent : now();
   const std::uint64_t ListAgeMs = msOf(m_ListFreshness().m_Age);
-  Of.m_Heard = now();
+  Of.m_LastActivity = now();
   // Events buffered during a handover are written to the caller unless the next
   // instance has begun: it continues after the last event that the caller has.
   if (!IsBegun && Of.m_Answer.started())
@@ -330,7 +330,7 @@
       co_return Of.m_Answer.started() ? AttemptOutcome::Broken
                                       : AttemptOutcome::Lost;
     m_Instances.dataReceived(Of.m_Instance, now());
-    Of.m_Heard = now();
+    Of.m_LastActivity = now();
     if (!Of.m_IsAnswering)
       recordFirstByte(Of);
     if (!IsEnd)
--- a/src/direct/entry-call.h
+++ b/src/direct/entry-call.h
@@ -73,7 +73,7 @@
   };
   std::shared_ptr<Handover> m_Handover;
   TimePoint m_Sent{};         ///< start of the current attempt
-  TimePoint m_Heard{};        ///< last byte received, or start of the attempt
+  TimePoint m_LastActivity{}; ///< last byte received, or start of the attempt
   bool m_IsAnswering = false; ///< the current attempt has its first byte
   bool m_IsPeerEnd = false;   ///< the instance closed the connection
   InstanceNotice m_Notice;    ///< from the head of the current answer
--- a/src/direct/entry-moves.cc
+++ b/src/direct/entry-moves.cc
@@ -242,7 +242,7 @@
   cancelSilentHandovers(Now);
   for (const auto &[Id, Calls] : m_AtInstance)
     moveStreamsFrom(Id, "stream silent", [Now](const Call &Each) {
-      return Now - Each.m_Heard > StreamSilence;
+      return Now - Each.m_LastActivity > StreamSilence;
     });
 }
 
--- a/src/direct/entry-requests.cc
+++ b/src/direct/entry-requests.cc
@@ -133,7 +133,7 @@
   RouteLoad &Load = m_RouteLoads[Of.m_Route->m_Name];
   Load.m_Sizes.arrived(Of.size());
   const milliseconds CallerTimeout =
-      Of.m_Terms.m_Patience.value_or(DefaultCallerTimeout);
+      Of.m_Terms.m_CallerTimeout.value_or(DefaultCallerTimeout);
   Load.m_LongestTimeout = std::max(Load.m_LongestTimeout, CallerTimeout);
   // A request with less time than others of its route was refused before.
   const bool IsReturning =
@@ -200,7 +200,7 @@
   Of.m_Query.m_AskedBeyond = AskedBeyond;
   Of.m_Query.m_Size = {Of.m_Terms.m_PromptTokens, Of.m_Terms.m_LikelyTokens};
   const milliseconds CallerTimeout =
-      Of.m_Terms.m_Patience.value_or(DefaultCallerTimeout);
+      Of.m_Terms.m_CallerTimeout.value_or(DefaultCallerTimeout);
   Of.m_Deadline = Of.m_Start + std::min(CallerTimeout, Of.m_Route->m_Timeout);
   Of.m_LastEventId = Of.m_Terms.m_LastEventId;
   retriesOf(*Service).arrived(now());
--- a/src/direct/entry-requests.h
+++ b/src/direct/entry-requests.h
@@ -9,7 +9,7 @@
 #include "deckpitch/size-shares.h"
 #include "deckpitch/store-freshness.h"
 #include "direct/adapter.h"
-#include "direct/harmful-watch.h"
+#include "direct/harmful-request-tracker.h"
 #include "net/http.h"
 
 #include <functional>
--- a/src/direct/harmful-watch.cc
+++ b/src/direct/harmful-request-tracker.cc
@@ -1,4 +1,4 @@
-#include "direct/harmful-watch.h"
+#include "direct/harmful-request-tracker.h"
 
 #include "daemon/clock.h"
 #include "direct/store-news.h"
--- a/src/direct/place-client.cc
+++ b/src/direct/slot-client.cc
@@ -1,4 +1,4 @@
-#include "direct/place-client.h"
+#include "direct/slot-client.h"
 
 #include <boost/asio.hpp>
 
--- a/support/fuzz/link-times-target.cc
+++ b/support/fuzz/link-times-target.cc
@@ -3,7 +3,7 @@
 #include "deckpitch/link-delay.h"
 #include "deckpitch/shared-reading.h"
 #include "deckpitch/slot-ledger.h"
-#include "direct/place-client.h"
+#include "direct/slot-client.h"
 #include "fuzz/check.h"
 #include "fuzz/link-messages.h"
 #include "fuzz/targets.h"
--- a/test/boot-clock-test.cc
+++ b/test/boot-clock-test.cc
@@ -15,7 +15,7 @@
 TEST(BootClock, CountsTheTimeOfASuspension) {
   const TimePoint Before = daemon::now();
   const auto BeforeThere = net::BootClock::now();
-  suspendMachine(5s);
+  simulateSuspension(5s);
   EXPECT_GE(daemon::now() - Before, 5s);
   EXPECT_GE(net::BootClock::now() - BeforeThere, 5s);
 }
--- a/test/suspension.cc
+++ b/test/suspension.cc
@@ -30,7 +30,7 @@
 
 namespace deckpitch::test {
 
-void suspendMachine(std::chrono::milliseconds Length) {
+void simulateSuspension(std::chrono::milliseconds Length) {
   SuspendedNanos += std::chrono::nanoseconds(Length).count();
 }
 
--- a/test/suspension.h
+++ b/test/suspension.h
@@ -7,6 +7,6 @@
 namespace deckpitch::test {
 
 /// Advances CLOCK_BOOTTIME permanently by the given time.
-void suspendMachine(std::chrono::milliseconds Length);
+void simulateSuspension(std::chrono::milliseconds Length);
 
 } // namespace deckpitch::test
