--- a/include/deckpitch/fleet.h
+++ b/include/deckpitch/fleet.h
@@ -160,11 +160,11 @@
 
 /// A declared version and the earliest possible time of its declaration: the
 /// last time at which it was known not to be declared.
-struct HeardWeights {
+struct DatedWeights {
   DeclaredWeights m_Declared;
   TimePoint m_Since{};
 
-  friend bool operator==(const HeardWeights &, const HeardWeights &) = default;
+  friend bool operator==(const DatedWeights &, const DatedWeights &) = default;
 };
 
 /// Formats the weights' id, "model@version".
--- a/include/deckpitch/holders.h
+++ b/include/deckpitch/holders.h
@@ -16,9 +16,9 @@
 
 /// A process and the revision that it announced.
 struct Holder {
-  std::string m_Link;    ///< address for requests
-  Revision m_Has{};      ///< store revision
-  bool m_IsNear = false; ///< in the same data centre
+  std::string m_Link;     ///< address for requests
+  Revision m_Has{};       ///< store revision
+  bool m_IsLocal = false; ///< in the same data centre
   TimePoint m_AnnouncedAt{};
 
   friend bool operator==(const Holder &, const Holder &) = default;
@@ -76,7 +76,7 @@
   /// Last failure, remote, negated revision: the smallest is asked next.
   using Order = std::tuple<std::uint64_t, bool, std::int64_t>;
   static Order orderOf(const Known &Of) {
-    return Order(Of.m_LastFailureNumber, !Of.m_Holder.m_IsNear,
+    return Order(Of.m_LastFailureNumber, !Of.m_Holder.m_IsLocal,
                  -static_cast<std::int64_t>(Of.m_Holder.m_Has.m_Value));
   }
 
--- a/include/deckpitch/shared-reading.h
+++ b/include/deckpitch/shared-reading.h
@@ -37,8 +37,8 @@
 /// arrived.
 struct ReportedReading {
   Duration m_Age{};         ///< age of the view when sent
-  Duration m_Late{};        ///< how much longer than usual the report took
-  bool m_IsNear = false;    ///< sent from the own data centre
+  Duration m_ExtraDelay{};  ///< how much longer than usual the report took
+  bool m_IsLocal = false;   ///< sent from the own data centre
   bool m_IsRelayed = false; ///< the sender has it from another process
 
   friend bool operator==(const ReportedReading &,
@@ -55,10 +55,10 @@
 /// certain: the delay between data centres may exceed RelayMargin.
 inline std::optional<TimePoint> asOfReport(const ReportedReading &Reported,
                                            TimePoint Now) {
-  const TimePoint AsOf = Now - Reported.m_Age - Reported.m_Late;
+  const TimePoint AsOf = Now - Reported.m_Age - Reported.m_ExtraDelay;
   if (!Reported.m_IsRelayed)
     return AsOf;
-  if (!Reported.m_IsNear)
+  if (!Reported.m_IsLocal)
     return std::nullopt;
   return AsOf - RelayMargin;
 }
--- a/src/direct/adapter.h
+++ b/src/direct/adapter.h
@@ -58,7 +58,7 @@
 struct InstanceNotice {
   bool m_IsLeaving = false;
   /// How long this process is to send it nothing; zero: no such demand.
-  Duration m_Rest{};
+  Duration m_BackOff{};
 
   friend bool operator==(const InstanceNotice &,
                          const InstanceNotice &) = default;
--- a/src/direct/agent.cc
+++ b/src/direct/agent.cc
@@ -7,7 +7,7 @@
 #include "direct/role.h"
 #include "direct/slot-client.h"
 #include "direct/state-link.h"
-#include "direct/store-news.h"
+#include "direct/store-updates.h"
 #include "direct/weights-supply.h"
 #include "net/adapters.h"
 #include "net/address.h"
@@ -89,7 +89,7 @@
 /// An entry that receives the instance's state.
 struct Subscriber {
   TimePoint m_LastHello{}; ///< when its last hello arrived
-  bool m_IsNear = true;    ///< whether it is in the same data centre
+  bool m_IsLocal = true;   ///< whether it is in the same data centre
   TimePoint m_SentAt{};    ///< when the state was last sent to it
   bool m_IsBehind = true;  ///< whether the state has changed since
 };
@@ -162,8 +162,8 @@
                   [this](const std::vector<FleetInstance> &Listed) {
                     m_Weights.setPool(Listed);
                   },
-                  [this](const std::vector<HeardWeights> &Declared) {
-                    for (const HeardWeights &Each : Declared)
+                  [this](const std::vector<DatedWeights> &Declared) {
+                    for (const DatedWeights &Each : Declared)
                       m_Weights.onDeclared(Each);
                   },
                   nullptr},
@@ -230,7 +230,7 @@
 std::optional<std::string> Agent::someLocalEntry() {
   std::vector<std::string> Local;
   for (const auto &[Link, Each] : m_Entries)
-    if (Each.m_IsNear)
+    if (Each.m_IsLocal)
       Local.push_back(Link);
   if (Local.empty())
     return std::nullopt;
@@ -279,7 +279,7 @@
   const TimePoint Now = now();
   Subscriber &Entry = m_Entries[From];
   Entry.m_LastHello = Now;
-  Entry.m_IsNear =
+  Entry.m_IsLocal =
       Message.hello().data_centre() == m_Context.m_Settings.m_DataCentre.m_Text;
   for (const wire::WeightsSourceState &Each : Message.hello().sources())
     setSource(read(Each));
@@ -365,7 +365,7 @@
     Each.m_IsBehind = Each.m_IsBehind || IsChanged;
     const Duration Since = Now - Each.m_SentAt;
     const Duration MinInterval =
-        Each.m_IsNear || IsUrgent ? Duration::zero() : RemoteInterval;
+        Each.m_IsLocal || IsUrgent ? Duration::zero() : RemoteInterval;
     const bool IsDue =
         Since >= RepeatInterval || (Each.m_IsBehind && Since >= MinInterval);
     if (!IsDue)
--- a/src/direct/entry-attempts.cc
+++ b/src/direct/entry-attempts.cc
@@ -86,7 +86,7 @@
             {"fingerprint", textOf(Of.m_Fingerprint)},
             {"closedThere", std::uint64_t{Of.m_IsPeerEnd}},
             {"saysLeaving", std::uint64_t{Of.m_Notice.m_IsLeaving}},
-            {"restMs", msOf(Of.m_Notice.m_Rest)},
+            {"restMs", msOf(Of.m_Notice.m_BackOff)},
             {"load", static_cast<std::uint64_t>(Chosen.m_Load)},
             {"limit", static_cast<std::uint64_t>(Chosen.m_Limit)},
             {"reportAgeMs", msOf(Chosen.m_ReportAge)},
@@ -120,10 +120,10 @@
     net::log(Event::InstanceLeaving, {{"instance", From.m_Text},
                                       {"source", "answer"},
                                       {"request", In.m_Terms.m_AttemptId}});
-  const bool Rests = Notice.m_Rest > Duration::zero();
-  if (Rests && m_Instances.backOff(From, now() + Notice.m_Rest, now()))
+  const bool Rests = Notice.m_BackOff > Duration::zero();
+  if (Rests && m_Instances.backOff(From, now() + Notice.m_BackOff, now()))
     net::log(Event::InstanceResting, {{"instance", From.m_Text},
-                                      {"restMs", msOf(Notice.m_Rest)},
+                                      {"restMs", msOf(Notice.m_BackOff)},
                                       {"request", In.m_Terms.m_AttemptId}});
 }
 
--- a/src/direct/entry-peers.cc
+++ b/src/direct/entry-peers.cc
@@ -33,7 +33,7 @@
 
 } // namespace
 
-void EntryPeers::learn(const EntryAddress &Listed) {
+void EntryPeers::addListed(const EntryAddress &Listed) {
   if (Listed.m_Id == m_Own.m_Id)
     return;
   Peer &Known = m_Peers[Listed.m_Id];
@@ -42,8 +42,8 @@
     Known.m_Address = Listed;
 }
 
-void EntryPeers::heard(const wire::LinkMessage &Message,
-                       const std::string &From, TimePoint Now) {
+void EntryPeers::onHello(const wire::LinkMessage &Message,
+                         const std::string &From, TimePoint Now) {
   const wire::EntryHello &Hello = Message.hello();
   const InstanceId Id{Hello.instance()};
   if (Id.empty() || Id == m_Own.m_Id || Hello.callers().empty())
@@ -80,7 +80,7 @@
 }
 
 DueHellos EntryPeers::dueHellos(TimePoint Now) {
-  const bool SendsRemoteDigest = ownTurn(Now).m_Near < RemoteDigestSenders;
+  const bool SendsRemoteDigest = ownRank(Now).m_Near < RemoteDigestSenders;
   DueHellos Due;
   for (auto &[Id, Each] : m_Peers) {
     const bool IsLive = isLive(Each, Now);
@@ -91,8 +91,8 @@
     }
     if (Now < Each.m_NextHello)
       continue;
-    const bool IncludesDigest = SendsRemoteDigest || isNear(Each);
-    (IncludesDigest ? Due.m_Telling : Due.m_Plain)
+    const bool IncludesDigest = SendsRemoteDigest || isLocal(Each);
+    (IncludesDigest ? Due.m_WithDigest : Due.m_WithoutDigest)
         .push_back(Each.m_Address.m_Link);
     Each.m_NextHello =
         Now + (IsLive || !Each.m_HasHello
@@ -111,36 +111,36 @@
 }
 
 bool EntryPeers::isInGroup(const Peer &Each, TimePoint Now) const {
-  return isLive(Each, Now) && (isNear(Each) || m_Peers.size() < MaxGroupSize);
+  return isLive(Each, Now) && (isLocal(Each) || m_Peers.size() < MaxGroupSize);
 }
 
 std::vector<std::string> EntryPeers::group(TimePoint Now,
-                                           NewsReach Reach) const {
+                                           UpdateReach Reach) const {
   std::vector<std::string> Out;
   for (const auto &[Id, Each] : m_Peers)
-    if (isInGroup(Each, Now) && (Reach == NewsReach::All || isNear(Each)))
+    if (isInGroup(Each, Now) && (Reach == UpdateReach::All || isLocal(Each)))
       Out.push_back(Each.m_Address.m_Link);
   return Out;
 }
 
-ReadRank EntryPeers::ownTurn(TimePoint Now) const {
+ReadRank EntryPeers::ownRank(TimePoint Now) const {
   ReadRank Out;
   for (const auto &[Id, Each] : m_Peers) {
     const bool IsBefore =
         Each.m_TakesCallers && Id < m_Own.m_Id && isInGroup(Each, Now);
     Out.m_All += IsBefore ? 1 : 0;
-    Out.m_Near += IsBefore && isNear(Each) ? 1 : 0;
+    Out.m_Near += IsBefore && isLocal(Each) ? 1 : 0;
   }
   return Out;
 }
 
-bool EntryPeers::isNear(const Peer &Each) const {
+bool EntryPeers::isLocal(const Peer &Each) const {
   return Each.m_Address.m_DataCentre == m_Own.m_DataCentre;
 }
 
-bool EntryPeers::isNear(const std::string &Link) const {
+bool EntryPeers::isLocal(const std::string &Link) const {
   return std::any_of(m_Peers.begin(), m_Peers.end(), [&](const auto &Each) {
-    return Each.second.m_Address.m_Link == Link && isNear(Each.second);
+    return Each.second.m_Address.m_Link == Link && isLocal(Each.second);
   });
 }
 
--- a/src/direct/entry-peers.h
+++ b/src/direct/entry-peers.h
@@ -15,7 +15,7 @@
 namespace deckpitch::direct {
 
 /// Which entries receive an update: all of the group, or the local ones.
-enum class NewsReach { All, Near };
+enum class UpdateReach { All, Local };
 
 /// How an entry is reached.
 struct EntryAddress {
@@ -32,8 +32,8 @@
   /// Hellos that include the digest of the store. All entries send it within
   /// their data centre, and the first entries of each to those of others, so
   /// that a lost update is noticed within a few hellos.
-  std::vector<std::string> m_Telling;
-  std::vector<std::string> m_Plain;
+  std::vector<std::string> m_WithDigest;
+  std::vector<std::string> m_WithoutDigest;
 
   friend bool operator==(const DueHellos &, const DueHellos &) = default;
 };
@@ -46,9 +46,9 @@
 
   /// Adds an entry that the store lists: hellos are sent to it, but it is not
   /// live until one of its own arrives.
-  void learn(const EntryAddress &Listed);
-  void heard(const wire::LinkMessage &Message, const std::string &From,
-             TimePoint Now);
+  void addListed(const EntryAddress &Listed);
+  void onHello(const wire::LinkMessage &Message, const std::string &From,
+               TimePoint Now);
 
   /// The hellos that are due now. Intervals grow with the number of entries, so
   /// that each receives at most a hundred a second.
@@ -61,12 +61,12 @@
   std::size_t knownCount() const { return 1 + m_Peers.size(); }
   /// Link addresses of the live entries that share one reader of the store with
   /// this one, or of those among them in this data centre.
-  std::vector<std::string> group(TimePoint Now, NewsReach Reach) const;
+  std::vector<std::string> group(TimePoint Now, UpdateReach Reach) const;
   /// Number of entries of the group that read the store before this one: those
   /// that accept callers and have a smaller id.
-  ReadRank ownTurn(TimePoint Now) const;
+  ReadRank ownRank(TimePoint Now) const;
   /// Whether the entry with that link address is in this data centre.
-  bool isNear(const std::string &Link) const;
+  bool isLocal(const std::string &Link) const;
   /// Addresses for a caller in a data centre: the entries there if there are
   /// enough of them, else all.
   std::vector<std::string> addressesFor(const DataCentreId &Caller,
@@ -85,7 +85,7 @@
 
   bool isLive(const Peer &Each, TimePoint Now) const;
   bool isInGroup(const Peer &Each, TimePoint Now) const;
-  bool isNear(const Peer &Each) const;
+  bool isLocal(const Peer &Each) const;
   Duration helloInterval() const;
 
   EntryAddress m_Own;
--- a/src/direct/entry.cc
+++ b/src/direct/entry.cc
@@ -10,8 +10,8 @@
 #include "direct/harmful-request-tracker.h"
 #include "direct/role.h"
 #include "direct/slot-client.h"
-#include "direct/store-news.h"
 #include "direct/store-relay.h"
+#include "direct/store-updates.h"
 #include "net/adapters.h"
 #include "net/address.h"
 #include "net/log.h"
@@ -94,7 +94,7 @@
   asio::awaitable<void> registerSelf();
   std::size_t entriesThatRetry() const;
   std::string ownRecord() const;
-  void learn(const net::PlatformObject &Record);
+  void addListed(const net::PlatformObject &Record);
   asio::awaitable<bool> writeOwnRecord();
   asio::awaitable<void> waitUntilDrained(std::function<void()> OnDone);
   void onLink(const wire::LinkMessage &Message, const std::string &From);
@@ -134,7 +134,7 @@
   net::HttpServer m_Callers;
   net::HttpServer m_Ready;
   net::HttpServer m_Directory;
-  std::vector<HeardWeights> m_Declared;
+  std::vector<DatedWeights> m_Declared;
   std::vector<WeightsSource> m_Sources;
   std::map<std::string, LinkOrder> m_StateOrder; ///< by instance address
   std::map<std::string, Sender> m_Senders;       ///< by link address
@@ -184,8 +184,8 @@
           },
           SmallLimits),
       m_RegisterTimer(m_Io) {
-  m_Requests.setFreshness([this] { return m_Follower.declarationBelief(); },
-                          [this] { return m_Follower.instancesBelief(); });
+  m_Requests.setFreshness([this] { return m_Follower.declarationFreshness(); },
+                          [this] { return m_Follower.instancesFreshness(); });
   m_Instances.setVersionBound(Context.m_Settings.m_Bounds.m_Version);
 }
 
@@ -218,13 +218,13 @@
     m_NextSubscribe = {}; // Sends the weights' sources to new agents at once.
     noteReadiness();
   };
-  Calls.m_OnWeights = [this](const std::vector<HeardWeights> &Declared) {
+  Calls.m_OnWeights = [this](const std::vector<DatedWeights> &Declared) {
     m_Declared = Declared;
-    for (const HeardWeights &Each : Declared)
+    for (const DatedWeights &Each : Declared)
       m_Instances.setWeights({Each.m_Declared}, Each.m_Since);
     m_NextSubscribe = {}; // Sends a hello with the change to all agents.
   };
-  Calls.m_OnNews = [this](const wire::StoreNews &News, NewsReach Reach) {
+  Calls.m_OnUpdate = [this](const wire::StoreNews &News, UpdateReach Reach) {
     wire::LinkMessage Message;
     *Message.mutable_news() = News;
     for (const std::string &To : m_Peers.group(now(), Reach))
@@ -273,7 +273,7 @@
 /// Logs when the cached instance list becomes too old to send requests by, and
 /// when it is current again.
 void Entry::logListFreshness() {
-  const StoreFreshness Freshness = m_Follower.instancesBelief();
+  const StoreFreshness Freshness = m_Follower.instancesFreshness();
   if (Freshness.m_IsOutdated == m_WasListOutdated)
     return;
   m_WasListOutdated = Freshness.m_IsOutdated;
@@ -324,8 +324,8 @@
   const Duration Late = Known.m_Delay.note(
       Message.incarnation(), std::chrono::microseconds(Message.sent_us()), Now);
   if (Message.has_hello())
-    m_Peers.heard(Message, From, Now);
-  const NewsOrigin Origin{From, m_Peers.isNear(From), Late};
+    m_Peers.onHello(Message, From, Now);
+  const UpdateSource Origin{From, m_Peers.isLocal(From), Late};
   if (Message.has_hello())
     m_Harmful.receive(Message.hello(), From);
   if (Message.has_hello() && Message.hello().has_known())
@@ -389,7 +389,7 @@
   m_RegisterTimer.cancel();
   wire::LinkMessage Message = ownHello();
   m_Harmful.addTo(*Message.mutable_hello());
-  for (const std::string &To : m_Peers.group(Now, NewsReach::All))
+  for (const std::string &To : m_Peers.group(Now, UpdateReach::All))
     m_Link.send(To, Message);
 }
 
@@ -397,20 +397,20 @@
   wire::LinkMessage Message = ownHello();
   wire::EntryHello &Hello = *Message.mutable_hello();
   const DueHellos Due = m_Peers.dueHellos(Now);
-  for (const std::string &To : Due.m_Plain)
+  for (const std::string &To : Due.m_WithoutDigest)
     m_Link.send(To, Message);
-  if (!Due.m_Telling.empty()) {
+  if (!Due.m_WithDigest.empty()) {
     *Hello.mutable_known() = m_Follower.digest();
     m_Harmful.addTo(Hello);
   }
-  for (const std::string &To : Due.m_Telling)
+  for (const std::string &To : Due.m_WithDigest)
     m_Link.send(To, Message);
   Hello.clear_known();
   Hello.clear_suspects();
   if (Now < m_NextSubscribe)
     return;
   m_NextSubscribe = Now + SubscribeInterval;
-  for (const HeardWeights &Each : m_Declared)
+  for (const DatedWeights &Each : m_Declared)
     write(Each, Now, *Hello.add_declared());
   // Not without versions: an agent that knows a model but none of its declared
   // versions loads the first one it finds.
@@ -430,7 +430,7 @@
     m_Harmful.removeExpired();
     m_Instances.setEntries(m_Peers.liveCount(Now));
     m_Requests.setEntries(entriesThatRetry(), Now);
-    m_Follower.setRank(m_Peers.ownTurn(Now));
+    m_Follower.setRank(m_Peers.ownRank(Now));
     logListFreshness();
     m_Requests.checkSilence(Now);
     m_Requests.moveStreamsFromSwapping(Now);
@@ -450,7 +450,7 @@
   return formatEntry({m_Peers.own(), m_Harmful.toStore()});
 }
 
-void Entry::learn(const net::PlatformObject &Record) {
+void Entry::addListed(const net::PlatformObject &Record) {
   const auto Known =
       outcomeOf([&] { return parseEntry(Record.m_Name, Record.m_Json); });
   if (!Known) {
@@ -458,7 +458,7 @@
              {{"entry", Record.m_Name}, {"error", Known.error().m_Message}});
     return;
   }
-  m_Peers.learn(Known->m_Address);
+  m_Peers.addListed(Known->m_Address);
   m_Harmful.receive(Known->m_Refused, Record.m_Name);
 }
 
@@ -474,7 +474,7 @@
   if (!Stored)
     co_return false;
   // Written before this start: merged, so that nothing stored is lost.
-  learn(*Stored);
+  addListed(*Stored);
   const std::string Json = ownRecord();
   if (Stored->m_Json == Json)
     co_return true;
@@ -494,8 +494,9 @@
       const auto List = co_await m_Store->list(EntryKind);
       m_HasListedEntries = m_HasListedEntries || List.has_value();
       if (List)
-        std::for_each(List->m_Items.begin(), List->m_Items.end(),
-                      [this](const net::PlatformObject &Each) { learn(Each); });
+        std::for_each(
+            List->m_Items.begin(), List->m_Items.end(),
+            [this](const net::PlatformObject &Each) { addListed(Each); });
       NextList = now() + (List ? EntriesInterval : RegisterRetryInterval);
     }
     m_RegisterTimer.expires_after(m_IsWritten ? NextList - now()
--- a/src/direct/fleet-follower.cc
+++ b/src/direct/fleet-follower.cc
@@ -2,7 +2,7 @@
 
 #include "daemon/clock.h"
 #include "deckpitch/back-off.h"
-#include "direct/store-news.h"
+#include "direct/store-updates.h"
 #include "net/log.h"
 
 #include <boost/asio.hpp>
@@ -191,12 +191,12 @@
 }
 
 void FleetFollower::publish(const std::function<void(wire::StoreNews &)> &Fill,
-                            NewsReach Reach) {
-  if (!m_Calls.m_OnNews)
+                            UpdateReach Reach) {
+  if (!m_Calls.m_OnUpdate)
     return;
   wire::StoreNews News;
   Fill(News);
-  m_Calls.m_OnNews(News, Reach);
+  m_Calls.m_OnUpdate(News, Reach);
 }
 
 asio::awaitable<void> FleetFollower::follow(FollowedKind &Of) {
@@ -261,8 +261,8 @@
     return false;
   // The entry that announced a newer version has sent it to the entries of
   // other data centres too.
-  const NewsReach Reach =
-      Of.m_Reading.isBehind() ? NewsReach::Near : NewsReach::All;
+  const UpdateReach Reach =
+      Of.m_Reading.isBehind() ? UpdateReach::Local : UpdateReach::All;
   for (const net::PlatformObject &Each : Read->m_Items)
     Of.m_Apply(Each);
   Of.m_Seen = std::max(Of.m_Seen, Read->m_Revision);
@@ -287,7 +287,7 @@
         if (Update.m_Type == net::PlatformEvent::Type::Bookmark) {
           Of.m_Seen = std::max(Of.m_Seen, Update.m_Object.m_Revision);
           Of.m_Reading.confirm(now() - Update.m_Age);
-          publish(Of.m_FillUpdate, NewsReach::All);
+          publish(Of.m_FillUpdate, UpdateReach::All);
         }
         return !m_Stopped && Of.m_Reading.isFirst();
       };
@@ -305,13 +305,13 @@
   co_return false;
 }
 
-StoreFreshness FleetFollower::declarationBelief() {
+StoreFreshness FleetFollower::declarationFreshness() {
   checkForPause();
   return freshnessOf(m_Declarations.m_Reading, m_Bounds.m_Apply, now(),
                      m_PauseDetector);
 }
 
-StoreFreshness FleetFollower::instancesBelief() {
+StoreFreshness FleetFollower::instancesFreshness() {
   checkForPause();
   return freshnessOf(m_Instances, m_Bounds.m_Drain, now(), m_PauseDetector);
 }
@@ -366,8 +366,8 @@
   setWeights({*Parsed, WasAway ? now() : ReadBefore});
 }
 
-void FleetFollower::setWeights(const HeardWeights &Received) {
-  HeardWeights &Known = m_Weights[Received.m_Declared.m_Model];
+void FleetFollower::setWeights(const DatedWeights &Received) {
+  DatedWeights &Known = m_Weights[Received.m_Declared.m_Model];
   const bool IsNewer =
       Received.m_Declared.m_Version > Known.m_Declared.m_Version;
   const bool IsEarlier = Received.m_Declared == Known.m_Declared &&
@@ -380,7 +380,7 @@
              {{"model", Received.m_Declared.m_Model},
               {"version", Received.m_Declared.m_Version},
               {"ageMs", ageMs(Received.m_Since)}});
-  std::vector<HeardWeights> All;
+  std::vector<DatedWeights> All;
   for (const auto &[Model, Each] : m_Weights)
     All.push_back(Each);
   m_Calls.m_OnWeights(All);
--- a/src/direct/fleet-follower.h
+++ b/src/direct/fleet-follower.h
@@ -47,10 +47,10 @@
 };
 
 /// The sender of an update.
-struct NewsOrigin {
-  std::string m_Link;    ///< link address of the entry that sent it
-  bool m_IsNear = false; ///< whether it is in the same data centre
-  Duration m_Late{};     ///< transit time beyond the usual
+struct UpdateSource {
+  std::string m_Link;      ///< link address of the entry that sent it
+  bool m_IsLocal = false;  ///< whether it is in the same data centre
+  Duration m_ExtraDelay{}; ///< transit time beyond the usual
 };
 
 /// Keeps a cached view of the store and continues with it during an outage.
@@ -60,9 +60,9 @@
   struct Callbacks {
     std::function<void(const FleetDeclaration &)> m_OnDeclaration;
     std::function<void(const std::vector<FleetInstance> &)> m_OnInstances;
-    std::function<void(const std::vector<HeardWeights> &)> m_OnWeights;
+    std::function<void(const std::vector<DatedWeights> &)> m_OnWeights;
     /// Sends an update to the entries in reach; may be empty.
-    std::function<void(const wire::StoreNews &, NewsReach)> m_OnNews;
+    std::function<void(const wire::StoreNews &, UpdateReach)> m_OnUpdate;
   };
 
   /// What was read is served through Relay unless that is null.
@@ -77,7 +77,7 @@
   /// Sets this entry's rank among the readers; see SharedReading.
   void setRank(ReadRank Turn);
   /// Handles an update from another entry.
-  void receive(const wire::StoreNews &News, const NewsOrigin &From);
+  void receive(const wire::StoreNews &News, const UpdateSource &From);
   /// Versions and ages of all that is known here, without the texts, from which
   /// others see whether they have missed an update.
   wire::StoreNews digest();
@@ -92,10 +92,10 @@
   asio::awaitable<bool> fetchInstancesFrom(std::string Holder);
 
   bool knowsDeclaration() const { return m_Version != 0; }
-  /// Call this and instancesBelief in each iteration of the event loop too, so
-  /// that a pause of the process is detected.
-  StoreFreshness declarationBelief();
-  StoreFreshness instancesBelief();
+  /// Call this and instancesFreshness in each iteration of the event loop too,
+  /// so that a pause of the process is detected.
+  StoreFreshness declarationFreshness();
+  StoreFreshness instancesFreshness();
   /// Whether the store was read, even if it names no version.
   bool knowsWeights() const {
     return m_WeightVersions.m_Reading.asOf() != TimePoint{};
@@ -108,7 +108,7 @@
     std::uint64_t m_Version = 0;
     Revision m_Revision{}; ///< store revision at which it is the newest
     TimePoint m_AsOf{};
-    NewsOrigin m_From;
+    UpdateSource m_From;
   };
   /// When the store held a received list, as far as that is certain.
   struct ListTimes {
@@ -143,7 +143,7 @@
   asio::awaitable<bool> readInstances();
   asio::awaitable<bool> fetchAnnouncedInstances();
   asio::awaitable<bool> fetchFromHolder(std::string Link, Revision Has);
-  void noteInstancesAnnounced(Revision At, const NewsOrigin &From,
+  void noteInstancesAnnounced(Revision At, const UpdateSource &From,
                               TimePoint Now);
   void confirmIfCertain(SharedReading &Reading, const ReportedReading &Told,
                         TimePoint Now);
@@ -156,15 +156,15 @@
   void logSlowRead(const std::string &Subject, TimePoint Asked, Duration Bound,
                    std::size_t Bytes) const;
   void publish(const std::function<void(wire::StoreNews &)> &Fill,
-               NewsReach Reach);
-  void publishInstances(const InstanceListChange &Change, NewsReach Reach);
+               UpdateReach Reach);
+  void publishInstances(const InstanceListChange &Change, UpdateReach Reach);
   void onDeclarationUpdate(const wire::DeclarationNews &News,
-                           const NewsOrigin &From, TimePoint Now);
-  void onWeightsUpdate(const wire::WeightsNews &News, const NewsOrigin &From,
+                           const UpdateSource &From, TimePoint Now);
+  void onWeightsUpdate(const wire::WeightsNews &News, const UpdateSource &From,
                        TimePoint Now);
   void onInstancesUpdate(const wire::InstancesNews &News,
-                         const NewsOrigin &From, TimePoint Now);
-  void setWeights(const HeardWeights &Received);
+                         const UpdateSource &From, TimePoint Now);
+  void setWeights(const DatedWeights &Received);
   void stayBehindAnnounced();
   void applyDeclaration(const net::PlatformObject &Object,
                         const std::string &Source);
@@ -194,7 +194,7 @@
   /// Newest version that others announced since this entry last read the store.
   std::uint64_t m_NewestAnnounced = 0;
   TimePoint m_NewestAnnouncedAt{};
-  std::map<std::string, HeardWeights> m_Weights; ///< by model
+  std::map<std::string, DatedWeights> m_Weights; ///< by model
   InstanceList m_Read;                           ///< as the store held it
   std::uint64_t m_ReadFingerprint = 0;           ///< fingerprint of m_Read
   Revision m_ReadRevision{};                     ///< store revision of m_Read
--- a/src/direct/fleet-instances.cc
+++ b/src/direct/fleet-instances.cc
@@ -1,7 +1,7 @@
 // How FleetFollower reads, keeps and announces the list of instances.
 #include "daemon/clock.h"
 #include "direct/fleet-follower.h"
-#include "direct/store-news.h"
+#include "direct/store-updates.h"
 #include "net/log.h"
 #include "net/metrics.h"
 
@@ -28,8 +28,8 @@
     co_await waitUntilDue(m_Instances, m_InstancesWake);
     if (m_Stopped)
       break;
-    const NewsReach Reach =
-        m_Instances.isBehind() ? NewsReach::Near : NewsReach::All;
+    const UpdateReach Reach =
+        m_Instances.isBehind() ? UpdateReach::Local : UpdateReach::All;
     const InstanceList Before = m_Read;
     const bool Succeeded = co_await readInstances();
     Failures = Succeeded ? 0 : Failures + 1;
@@ -56,7 +56,7 @@
 }
 
 void FleetFollower::publishInstances(const InstanceListChange &Change,
-                                     NewsReach Reach) {
+                                     UpdateReach Reach) {
   const auto Fill = [&](wire::StoreNews &News) {
     wire::InstancesNews &Update = *News.mutable_instances();
     write(Change, Update);
--- a/src/direct/fleet-news.cc
+++ b/src/direct/fleet-updates.cc
@@ -1,7 +1,7 @@
 // How FleetFollower handles the updates of other entries.
 #include "daemon/clock.h"
 #include "direct/fleet-follower.h"
-#include "direct/store-news.h"
+#include "direct/store-updates.h"
 #include "net/log.h"
 
 #include <boost/asio.hpp>
@@ -25,8 +25,8 @@
 /// 0.25 s, and the list must arrive within half of the bound.
 constexpr int MaxHoldersAsked = 2;
 
-ReportedReading readingIn(const auto &News, const NewsOrigin &From) {
-  return {milliseconds(News.age_ms()), From.m_Late, From.m_IsNear,
+ReportedReading readingIn(const auto &News, const UpdateSource &From) {
+  return {milliseconds(News.age_ms()), From.m_ExtraDelay, From.m_IsLocal,
           News.is_relayed()};
 }
 
@@ -35,11 +35,11 @@
 wire::StoreNews FleetFollower::digest() {
   wire::StoreNews Out;
   // Stale state is left out: others would take it as confirmed by this entry.
-  if (knowsDeclaration() && !declarationBelief().m_IsUnconfirmed)
+  if (knowsDeclaration() && !declarationFreshness().m_IsUnconfirmed)
     m_Declarations.m_FillUpdate(Out);
   if (knowsWeights())
     m_WeightVersions.m_FillUpdate(Out);
-  if (!m_KnowsInstances || instancesBelief().m_IsUnconfirmed)
+  if (!m_KnowsInstances || instancesFreshness().m_IsUnconfirmed)
     return Out;
   wire::InstancesNews &Announced = *Out.mutable_instances();
   Announced.set_after(m_ReadFingerprint);
@@ -57,7 +57,7 @@
 }
 
 void FleetFollower::receive(const wire::StoreNews &News,
-                            const NewsOrigin &From) {
+                            const UpdateSource &From) {
   checkForPause();
   const TimePoint Now = now();
   if (News.has_declaration())
@@ -71,21 +71,22 @@
 /// The first entry of a data centre fetches a newer declaration from any entry;
 /// the others fetch it from a local entry.
 void FleetFollower::onDeclarationUpdate(const wire::DeclarationNews &News,
-                                        const NewsOrigin &From, TimePoint Now) {
+                                        const UpdateSource &From,
+                                        TimePoint Now) {
   if (News.version() < m_Version)
     return;
   SharedReading &Reading = m_Declarations.m_Reading;
-  Reading.noteReport(Now - From.m_Late);
+  Reading.noteReport(Now - From.m_ExtraDelay);
   if (News.version() > m_Version) {
     const bool IsBetter = !m_Announced ||
                           News.version() > m_Announced->m_Version ||
-                          (From.m_IsNear && !m_Announced->m_From.m_IsNear);
+                          (From.m_IsLocal && !m_Announced->m_From.m_IsLocal);
     if (IsBetter)
       m_Announced = {
           News.version(), Revision{News.revision()},
           asOfReport(readingIn(News, From), Now).value_or(TimePoint{}), From};
     Reading.noteBehind(Now,
-                       From.m_IsNear ? Duration::zero() : Reading.rankDelay());
+                       From.m_IsLocal ? Duration::zero() : Reading.rankDelay());
     m_NewestAnnounced = std::max(m_NewestAnnounced, News.version());
     m_NewestAnnouncedAt = Now;
     m_Declarations.m_Wake.cancel();
@@ -100,7 +101,7 @@
 }
 
 void FleetFollower::onWeightsUpdate(const wire::WeightsNews &News,
-                                    const NewsOrigin &From, TimePoint Now) {
+                                    const UpdateSource &From, TimePoint Now) {
   for (const wire::DeclaredWeightsState &Each : News.declared())
     setWeights(read(Each, Now));
   // An update that lacks a version known here confirms nothing.
@@ -120,11 +121,11 @@
 /// Lists are ordered by the store's revision: ages do not distinguish two lists
 /// read within a few milliseconds.
 void FleetFollower::onInstancesUpdate(const wire::InstancesNews &News,
-                                      const NewsOrigin &From, TimePoint Now) {
+                                      const UpdateSource &From, TimePoint Now) {
   const Revision At{News.revision()};
   if (At < m_ReadRevision)
     return;
-  m_Instances.noteReport(Now - From.m_Late);
+  m_Instances.noteReport(Now - From.m_ExtraDelay);
   const ReportedReading Announced = readingIn(News, From);
   ListTimes AsOf{asOfReport(Announced, Now), Announced.m_IsRelayed,
                  std::nullopt};
@@ -142,12 +143,13 @@
 
 /// Holders in this data centre are asked first, after a delay in which the
 /// change itself may arrive.
-void FleetFollower::noteInstancesAnnounced(Revision At, const NewsOrigin &From,
+void FleetFollower::noteInstancesAnnounced(Revision At,
+                                           const UpdateSource &From,
                                            TimePoint Now) {
-  m_InstanceHolders.note({From.m_Link, At, From.m_IsNear, Now});
-  m_Instances.noteBehind(Now, From.m_IsNear ? ChangeTransitTime
-                                            : ChangeTransitTime +
-                                                  m_Instances.rankDelay());
+  m_InstanceHolders.note({From.m_Link, At, From.m_IsLocal, Now});
+  m_Instances.noteBehind(Now, From.m_IsLocal ? ChangeTransitTime
+                                             : ChangeTransitTime +
+                                                   m_Instances.rankDelay());
   m_InstancesWake.cancel();
 }
 
@@ -215,7 +217,7 @@
   m_Declarations.m_Reading.confirm(Announced->m_AsOf, true);
   m_Declarations.m_Reading.noteCaughtUp();
   stayBehindAnnounced();
-  publish(m_Declarations.m_FillUpdate, NewsReach::Near);
+  publish(m_Declarations.m_FillUpdate, UpdateReach::Local);
   co_return true;
 }
 
--- a/src/direct/harmful-request-tracker.cc
+++ b/src/direct/harmful-request-tracker.cc
@@ -1,7 +1,7 @@
 #include "direct/harmful-request-tracker.h"
 
 #include "daemon/clock.h"
-#include "direct/store-news.h"
+#include "direct/store-updates.h"
 #include "net/log.h"
 
 #include <algorithm>
--- a/src/direct/store-relay.cc
+++ b/src/direct/store-relay.cc
@@ -1,7 +1,7 @@
 #include "direct/store-relay.h"
 
 #include "daemon/clock.h"
-#include "direct/store-news.h"
+#include "direct/store-updates.h"
 #include "net/deflate.h"
 #include "proto/link.pb.h"
 
@@ -20,7 +20,7 @@
 constexpr unsigned StatusNotFound = 404;
 /// Longest text: the store itself limits a value to 1 MiB. A list of 1,000
 /// instances takes 0.2 MB.
-constexpr std::size_t MostTextBytes = std::size_t{4} * 1024 * 1024;
+constexpr std::size_t MaxTextBytes = std::size_t{4} * 1024 * 1024;
 /// Longest list, that of 2,500 instances. Short items use a hundred times the
 /// size of their text in memory.
 constexpr std::size_t MaxListBytes = std::size_t{512} * 1024;
@@ -78,7 +78,7 @@
   wire::DeclarationText From;
   if (!From.ParseFromString(Body))
     return Error{ErrorCode::InvalidInput, "malformed relayed declaration"};
-  auto Text = net::inflate(From.deflated(), MostTextBytes);
+  auto Text = net::inflate(From.deflated(), MaxTextBytes);
   if (!Text)
     return Text.error();
   HeldDeclaration Out;
--- a/src/direct/store-news.cc
+++ b/src/direct/store-updates.cc
@@ -1,4 +1,4 @@
-#include "direct/store-news.h"
+#include "direct/store-updates.h"
 
 #include <algorithm>
 #include <chrono>
@@ -6,14 +6,14 @@
 
 namespace deckpitch::direct {
 
-void write(const HeardWeights &From, TimePoint Now,
+void write(const DatedWeights &From, TimePoint Now,
            wire::DeclaredWeightsState &To) {
   To.set_model(From.m_Declared.m_Model);
   To.set_version(From.m_Declared.m_Version);
   To.set_age_ms(ageMs(From.m_Since, Now));
 }
 
-HeardWeights read(const wire::DeclaredWeightsState &From, TimePoint Now) {
+DatedWeights read(const wire::DeclaredWeightsState &From, TimePoint Now) {
   return {{From.model(), From.version()},
           Now - std::chrono::milliseconds(From.age_ms())};
 }
@@ -96,7 +96,7 @@
 void write(const InstanceListChange &From, wire::InstancesNews &To) {
   To.set_before(From.m_Before);
   To.set_after(From.m_After);
-  if (From.m_Put.size() + From.m_Removed.size() > MostChangesTold)
+  if (From.m_Put.size() + From.m_Removed.size() > MaxChangesSent)
     return;
   for (const FleetInstance &Each : From.m_Put)
     write(Each, *To.add_put());
--- a/src/direct/store-news.h
+++ b/src/direct/store-updates.h
@@ -10,11 +10,11 @@
 /// A change of more instances than this is sent without its contents, so that a
 /// datagram stays below 8 KB; a receiver that lacks the contents reads the
 /// list.
-inline constexpr std::size_t MostChangesTold = 40;
+inline constexpr std::size_t MaxChangesSent = 40;
 
-void write(const HeardWeights &From, TimePoint Now,
+void write(const DatedWeights &From, TimePoint Now,
            wire::DeclaredWeightsState &To);
-HeardWeights read(const wire::DeclaredWeightsState &From, TimePoint Now);
+DatedWeights read(const wire::DeclaredWeightsState &From, TimePoint Now);
 
 void write(const WeightsSource &From, wire::WeightsSourceState &To);
 WeightsSource read(const wire::WeightsSourceState &From);
--- a/src/direct/weights-supply.cc
+++ b/src/direct/weights-supply.cc
@@ -165,7 +165,7 @@
         net::Adapters<net::Origin>::make(m_Http, "pieces://" + Source.m_Origin);
   }
   m_Source = Source;
-  for (const HeardWeights &Each : std::exchange(m_PendingDeclarations, {}))
+  for (const DatedWeights &Each : std::exchange(m_PendingDeclarations, {}))
     onDeclared(Each);
 }
 
@@ -178,7 +178,7 @@
     updateCopyPeers();
 }
 
-void WeightsSupply::onDeclared(const HeardWeights &Dated) {
+void WeightsSupply::onDeclared(const DatedWeights &Dated) {
   const DeclaredWeights &Declared = Dated.m_Declared;
   if (!hasSource())
     return m_PendingDeclarations.push_back(Dated);
--- a/src/direct/weights-supply.h
+++ b/src/direct/weights-supply.h
@@ -52,7 +52,7 @@
   void setSource(const WeightsSource &Source);
   bool hasSource() const { return !m_Source.m_Model.empty(); }
   void setPool(std::vector<FleetInstance> Pool);
-  void onDeclared(const HeardWeights &Dated);
+  void onDeclared(const DatedWeights &Dated);
   /// Time until the instance is to load weights that are ready; nothing unless
   /// it still serves older ones.
   std::optional<Duration> timeUntilSwap(const InstanceReport &Report,
@@ -110,7 +110,7 @@
   StagingCache *m_Staging = nullptr; ///< owned by m_Transfer
 
   WeightsSource m_Source;
-  std::vector<HeardWeights>
+  std::vector<DatedWeights>
       m_PendingDeclarations; ///< received before the source
   std::vector<std::unique_ptr<net::Origin>> m_RetiredOrigins;
   DeclaredWeights m_Wanted;
--- a/support/fuzz/known-list.cc
+++ b/support/fuzz/known-list.cc
@@ -1,6 +1,6 @@
 #include "fuzz/known-list.h"
 
-#include "direct/store-news.h"
+#include "direct/store-updates.h"
 #include "fuzz/check.h"
 
 namespace deckpitch::fuzz {
--- a/support/fuzz/link-target.cc
+++ b/support/fuzz/link-target.cc
@@ -2,7 +2,7 @@
 // same again, and what is late, repeated or of no list changes nothing.
 #include "direct/entry-peers.h"
 #include "direct/state-link.h"
-#include "direct/store-news.h"
+#include "direct/store-updates.h"
 #include "fuzz/check.h"
 #include "fuzz/known-list.h"
 #include "fuzz/link-messages.h"
@@ -19,7 +19,7 @@
 using direct::EntryAddress;
 using direct::EntryPeers;
 using direct::LinkOrder;
-using direct::NewsReach;
+using direct::UpdateReach;
 using wire::LinkMessage;
 
 /// When an input begins; any moment does.
@@ -40,7 +40,7 @@
 
 template <typename List> void checkDeclared(const List &Declared) {
   const auto Read = [](const auto &From) { return direct::read(From, Begin); };
-  const auto Write = [](const HeardWeights &From, auto &To) {
+  const auto Write = [](const DatedWeights &From, auto &To) {
     direct::write(From, Begin, To);
   };
   for (const wire::DeclaredWeightsState &Each : Declared)
@@ -62,7 +62,7 @@
   wire::InstancesNews Again;
   direct::write(Once, Again);
   InstanceListChange Told = Once;
-  if (Once.m_Put.size() + Once.m_Removed.size() > direct::MostChangesTold) {
+  if (Once.m_Put.size() + Once.m_Removed.size() > direct::MaxChangesSent) {
     Told.m_Put.clear();
     Told.m_Removed.clear();
   }
@@ -97,10 +97,10 @@
 
 /// All that can be asked of it without a change.
 auto stateOf(const EntryPeers &Peers, TimePoint Now) {
-  const ReadRank Turn = Peers.ownTurn(Now);
+  const ReadRank Turn = Peers.ownRank(Now);
   return std::make_tuple(
-      Peers.liveCount(Now), Peers.group(Now, NewsReach::All),
-      Peers.group(Now, NewsReach::Near), Turn.m_All, Turn.m_Near,
+      Peers.liveCount(Now), Peers.group(Now, UpdateReach::All),
+      Peers.group(Now, UpdateReach::Local), Turn.m_All, Turn.m_Near,
       Peers.addressesFor(Peers.own().m_DataCentre, true, Now),
       Peers.addressesFor({"another"}, false, Now));
 }
@@ -115,13 +115,13 @@
 void checkPeers(EntryPeers &Peers, const LinkMessage &Message, TimePoint Now) {
   const EntryAddress Own = Peers.own();
   const auto Before = stateOf(Peers, Now);
-  Peers.heard(Message, Sender, Now);
+  Peers.onHello(Message, Sender, Now);
   const auto After = stateOf(Peers, Now);
   require(Message.has_hello() || After == Before,
           "only a hello changes what is known of entries");
   const bool IsOwn = Message.hello().instance() == Own.m_Id.m_Text;
   require(!IsOwn || After == Before, "an entry does not hear itself");
-  Peers.heard(Message, Sender, Now);
+  Peers.onHello(Message, Sender, Now);
   require(stateOf(Peers, Now) == After, "a repeated hello changes nothing");
   require(Peers.own() == Own, "an entry's own address stays");
   checkHellos(Peers, Now);
@@ -136,7 +136,7 @@
 
 void fuzzLink(Bytes Input) {
   EntryPeers Peers({{"e1"}, {"dc1"}, "127.0.0.1:1", "127.0.0.1:2"});
-  Peers.learn({{"e2"}, {"dc2"}, "127.0.0.1:3", "127.0.0.1:4"});
+  Peers.addListed({{"e2"}, {"dc2"}, "127.0.0.1:3", "127.0.0.1:4"});
   std::map<std::string, LinkOrder> Orders;
   KnownList Known;
   TimePoint Now = Begin;
--- a/support/fuzz/relay-target.cc
+++ b/support/fuzz/relay-target.cc
@@ -1,7 +1,7 @@
 // Texts that one process passes on to another, packed: whole or refused, and
 // small in memory.
-#include "direct/store-news.h"
 #include "direct/store-relay.h"
+#include "direct/store-updates.h"
 #include "fuzz/check.h"
 #include "fuzz/input-reader.h"
 #include "fuzz/peak-memory.h"
--- a/test/entry-peers-test.cc
+++ b/test/entry-peers-test.cc
@@ -26,7 +26,7 @@
         std::make_unique<Entry>(Entry{EntryPeers(addressOf(Id, DataCentre))}));
     for (const auto &One : m_Entries)
       for (const auto &Two : m_Entries)
-        One->m_Peers.learn(Two->m_Peers.own());
+        One->m_Peers.addListed(Two->m_Peers.own());
     return *m_Entries.back();
   }
 
@@ -41,13 +41,13 @@
     Message.mutable_hello()->set_takes_callers(true);
     for (const auto &Each : m_Entries)
       if (!m_IsCut && Each->m_Peers.own().m_Link == To)
-        Each->m_Peers.heard(Message, Own.m_Link, m_Now);
+        Each->m_Peers.onHello(Message, Own.m_Link, m_Now);
   }
 
   static std::vector<std::string> allOf(direct::DueHellos Due) {
-    Due.m_Telling.insert(Due.m_Telling.end(), Due.m_Plain.begin(),
-                         Due.m_Plain.end());
-    return Due.m_Telling;
+    Due.m_WithDigest.insert(Due.m_WithDigest.end(), Due.m_WithoutDigest.begin(),
+                            Due.m_WithoutDigest.end());
+    return Due.m_WithDigest;
   }
 
   /// Returns whether all entries counted all others as live throughout.
@@ -86,14 +86,14 @@
   Entry &First = add("e1");
   Entry &Third = add("e3");
   run(2s);
-  EXPECT_EQ(First.m_Peers.ownTurn(m_Now), (ReadRank{0, 0}));
-  EXPECT_EQ(Second.m_Peers.ownTurn(m_Now), (ReadRank{1, 1}));
-  EXPECT_EQ(Third.m_Peers.ownTurn(m_Now), (ReadRank{2, 2}));
-  EXPECT_EQ(Third.m_Peers.group(m_Now, NewsReach::All),
+  EXPECT_EQ(First.m_Peers.ownRank(m_Now), (ReadRank{0, 0}));
+  EXPECT_EQ(Second.m_Peers.ownRank(m_Now), (ReadRank{1, 1}));
+  EXPECT_EQ(Third.m_Peers.ownRank(m_Now), (ReadRank{2, 2}));
+  EXPECT_EQ(Third.m_Peers.group(m_Now, UpdateReach::All),
             (std::vector<std::string>{"link-e1", "link-e2"}));
   m_IsCut = true;
   run(8s);
-  EXPECT_EQ(Third.m_Peers.ownTurn(m_Now), (ReadRank{0, 0}));
+  EXPECT_EQ(Third.m_Peers.ownRank(m_Now), (ReadRank{0, 0}));
 }
 
 TEST_F(EntryHellos, LocalEntriesAreRankedPerDataCentre) {
@@ -102,15 +102,15 @@
   Entry &Third = add("e3", "a");
   Entry &Fourth = add("e4", "b");
   run(2s);
-  EXPECT_EQ(Second.m_Peers.ownTurn(m_Now), (ReadRank{1, 0}));
-  EXPECT_EQ(Third.m_Peers.ownTurn(m_Now), (ReadRank{2, 1}));
-  EXPECT_EQ(Fourth.m_Peers.ownTurn(m_Now), (ReadRank{3, 1}));
-  EXPECT_EQ(Fourth.m_Peers.group(m_Now, NewsReach::Near),
+  EXPECT_EQ(Second.m_Peers.ownRank(m_Now), (ReadRank{1, 0}));
+  EXPECT_EQ(Third.m_Peers.ownRank(m_Now), (ReadRank{2, 1}));
+  EXPECT_EQ(Fourth.m_Peers.ownRank(m_Now), (ReadRank{3, 1}));
+  EXPECT_EQ(Fourth.m_Peers.group(m_Now, UpdateReach::Local),
             std::vector<std::string>{"link-e2"});
-  EXPECT_EQ(Fourth.m_Peers.group(m_Now, NewsReach::All).size(), 3U);
-  EXPECT_TRUE(Fourth.m_Peers.isNear("link-e2"));
-  EXPECT_FALSE(Fourth.m_Peers.isNear("link-e1"));
-  EXPECT_FALSE(Fourth.m_Peers.isNear("link-unknown"));
+  EXPECT_EQ(Fourth.m_Peers.group(m_Now, UpdateReach::All).size(), 3U);
+  EXPECT_TRUE(Fourth.m_Peers.isLocal("link-e2"));
+  EXPECT_FALSE(Fourth.m_Peers.isLocal("link-e1"));
+  EXPECT_FALSE(Fourth.m_Peers.isLocal("link-unknown"));
 }
 
 TEST_F(EntryHellos, LargeFleetsShareReadsOnlyWithinADataCentre) {
@@ -120,10 +120,10 @@
     add("b" + std::to_string(I), "b");
   }
   run(3s);
-  EXPECT_EQ(m_Entries.front()->m_Peers.group(m_Now, NewsReach::All).size(),
+  EXPECT_EQ(m_Entries.front()->m_Peers.group(m_Now, UpdateReach::All).size(),
             OfEach - 1U);
   // "b0": all ids of the other data centre are smaller but do not count.
-  EXPECT_EQ(m_Entries[1]->m_Peers.ownTurn(m_Now), (ReadRank{0, 0}));
+  EXPECT_EQ(m_Entries[1]->m_Peers.ownRank(m_Now), (ReadRank{0, 0}));
 }
 
 } // namespace
