--- a/src/daemon/weights-copy.cc
+++ b/src/daemon/weights-copy.cc
@@ -511,8 +511,8 @@
   const auto To = m_Peers.find(Action.m_Peer);
   if (To == m_Peers.end())
     return;
-  net::log(Event::PeerSetAside, {{"weights", m_Manifest.m_Weights.m_Text},
-                                 {"peer", To->second.m_Id.m_Text}});
+  net::log(Event::PeerQuarantined, {{"weights", m_Manifest.m_Weights.m_Text},
+                                    {"peer", To->second.m_Id.m_Text}});
   To->second.m_Connection->close();
 }
 
--- a/src/direct/entry-attempts.cc
+++ b/src/direct/entry-attempts.cc
@@ -122,9 +122,9 @@
                                       {"request", In.m_Terms.m_AttemptId}});
   const bool Rests = Notice.m_BackOff > Duration::zero();
   if (Rests && m_Instances.backOff(From, now() + Notice.m_BackOff, now()))
-    net::log(Event::InstanceResting, {{"instance", From.m_Text},
-                                      {"restMs", msOf(Notice.m_BackOff)},
-                                      {"request", In.m_Terms.m_AttemptId}});
+    net::log(Event::InstanceBackingOff, {{"instance", From.m_Text},
+                                         {"restMs", msOf(Notice.m_BackOff)},
+                                         {"request", In.m_Terms.m_AttemptId}});
 }
 
 /// Sends the request to an instance and reads the head of the answer.
--- a/src/direct/entry-moves.cc
+++ b/src/direct/entry-moves.cc
@@ -219,7 +219,7 @@
         Overdue.push_back(Each);
   }
   for (Call *Each : Overdue) {
-    net::log(Event::RequestTakenBack, {{"request", Each->m_Terms.m_AttemptId},
+    net::log(Event::RequestWithdrawn, {{"request", Each->m_Terms.m_AttemptId},
                                        {"instance", Each->m_Instance.m_Text},
                                        {"sentMs", msOf(Now - Each->m_Sent)}});
     Each->abort();
@@ -231,7 +231,7 @@
   for (const InstanceId &Id : m_Instances.silentFor(InstanceSilence, Now)) {
     Silent.insert(Id);
     if (!m_Silent.contains(Id))
-      net::log(Event::InstanceSilent,
+      net::log(Event::InstanceUnresponsive,
                {{"instance", Id.m_Text}, {"silentMs", msOf(InstanceSilence)}});
     moveStreamsFrom(Id, "instance silent", [](const Call &) { return true; });
   }
--- a/src/direct/entry-peers.cc
+++ b/src/direct/entry-peers.cc
@@ -55,7 +55,7 @@
       Hello.takes_callers() && !(isLive(Known, Now) && Known.m_TakesCallers);
   const bool Leaves = !Hello.takes_callers() && Known.m_TakesCallers;
   if (IsBack || Leaves)
-    net::log(IsBack ? Event::EntryHeard : Event::EntryLost,
+    net::log(IsBack ? Event::EntryDiscovered : Event::EntryLost,
              {{"entry", Id.m_Text}, {"callers", Hello.callers()}});
   // Answer at once: at the interval for silent entries, two entries would
   // receive each other's hellos too rarely to count each other as live, and
--- a/src/direct/entry.cc
+++ b/src/direct/entry.cc
@@ -334,7 +334,7 @@
     return;
   if (Late > LateUpdateThreshold && Now >= Known.m_NextLateLog) {
     Known.m_NextLateLog = Now + LateLogInterval;
-    net::log(Event::NewsLate,
+    net::log(Event::UpdateLate,
              {{"from", From},
               {"lateMs",
                std::uint64_t(
@@ -359,7 +359,7 @@
       .counter("deckpitch_place_questions_total", {{"outcome", Outcome}})
       .add();
   if (!Answer) {
-    net::log(Event::PlaceUnanswered, {{"address", Address}});
+    net::log(Event::SlotQueryUnanswered, {{"address", Address}});
     co_return std::nullopt;
   }
   co_return SlotReply{Answer->is_granted(), reportOf(Answer->state())};
--- a/src/direct/fleet-follower.cc
+++ b/src/direct/fleet-follower.cc
@@ -319,7 +319,7 @@
 void FleetFollower::checkForPause() {
   const std::optional<Duration> Pause = m_PauseDetector.noteIteration(now());
   if (Pause)
-    net::log(Event::ProcessStoodStill,
+    net::log(Event::ProcessPaused,
              {{"ms",
                std::uint64_t(
                    std::chrono::duration_cast<milliseconds>(*Pause).count())}});
--- a/src/direct/fleet-instances.cc
+++ b/src/direct/fleet-instances.cc
@@ -203,7 +203,7 @@
     if (!Now.contains(Id))
       Log(Event::InstanceGone, Each);
     else if (IsKept)
-      Log(Event::InstanceLapsed, Each);
+      Log(Event::InstanceExpired, Each);
   }
   for (const auto &[Id, Each] : Now) {
     const auto Known = m_Listed.find(Id);
--- a/src/direct/harmful-request-tracker.cc
+++ b/src/direct/harmful-request-tracker.cc
@@ -76,7 +76,7 @@
                                  const InstanceId &At, TimePoint Sent,
                                  const std::string &AttemptId) {
   const bool IsRefusedNow = m_Known.lost(Request, At, Sent, now());
-  net::log(Event::InstanceLostUnder,
+  net::log(Event::InstanceLostDuringRequest,
            {{"request", AttemptId},
             {"fingerprint", textOf(Request)},
             {"instance", At.m_Text},
--- a/src/direct/staging-cache.cc
+++ b/src/direct/staging-cache.cc
@@ -165,7 +165,7 @@
     if (Rewritten == 0 && Took <= VerificationLifetime)
       co_return StagedState::Verified;
   }
-  net::log(Event::StagingUnsure,
+  net::log(Event::StagingUncertain,
            {{"weights", Wanted.m_Weights.m_Text},
             {"tookMs", msOf(Took)},
             {"rewritten", std::uint64_t{Rewritten}},
@@ -212,8 +212,8 @@
       co_return std::nullopt;
     if (Staged && matches(ExpectedDigest, *Staged))
       continue;
-    net::log(Event::StagedChunkSpoilt, {{"weights", Wanted.m_Weights.m_Text},
-                                        {"chunk", std::uint64_t{Index}}});
+    net::log(Event::StagedChunkCorrupt, {{"weights", Wanted.m_Weights.m_Text},
+                                         {"chunk", std::uint64_t{Index}}});
     const std::string *Kept = find(Wanted.m_Weights, Index);
     if (!Kept || !matches(ExpectedDigest, *Kept))
       co_return std::nullopt;
--- a/src/direct/weights-supply.cc
+++ b/src/direct/weights-supply.cc
@@ -273,7 +273,7 @@
     return;
   Of.m_StallLoggedAt = Now;
   const CopyWait Wait = Of.m_Copy->swarm().waitsFor(Now);
-  net::log(Event::CopyWaits,
+  net::log(Event::CopyStalled,
            {{"weights", Of.m_Copy->manifest().m_Weights.m_Text},
             {"missing", std::uint64_t{Wait.m_Missing}},
             {"chunk", std::uint64_t{Wait.m_Chunk}},
