--- a/src/daemon/entry-chat.cc
+++ b/src/daemon/entry-chat.cc
@@ -15,12 +15,13 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds NoUpstreamRetry{500};
-/// Routes are out of date for about a heartbeat when instances switch.
-constexpr std::chrono::milliseconds StaleRoutesLimit{1'000};
-constexpr std::chrono::milliseconds StaleRoutesPoll{10};
+constexpr std::chrono::milliseconds NoUpstreamRetryAfter{500};
+/// Routes stay stale for about one heartbeat when instances switch weights.
+constexpr std::chrono::milliseconds StaleRoutesTimeout{1'000};
+constexpr std::chrono::milliseconds StaleRoutesPollInterval{10};
+/// Bytes of the messages whose hash selects an upstream, for prefix caching.
 constexpr std::size_t PrefixBytes = 256;
-constexpr std::size_t MaxPassedOnBytes = std::size_t{1024} * 1024;
+constexpr std::size_t MaxForwardedBytes = std::size_t{1024} * 1024;
 constexpr std::string_view StreamEnd = "data: [DONE]\n\n";
 
 std::uint64_t prefixHashOf(const boost::json::object &Body) {
@@ -69,9 +70,10 @@
     co_return RequestOutcome::NotRun;
   }
   m_Answer.onGone([this] { callerGone(); });
-  Turn Own = co_await takeTurn(m_Context, m_Routes, *m_Pool, m_Call);
-  if (Own.m_Refusal) {
-    co_await m_Answer.send(std::move(*Own.m_Refusal));
+  PoolAdmission Admitted =
+      co_await awaitAdmission(m_Context, m_Routes, *m_Pool, m_Call);
+  if (Admitted.m_Refusal) {
+    co_await m_Answer.send(std::move(*Admitted.m_Refusal));
     co_return RequestOutcome::NotRun;
   }
   if (!m_Call.m_Terms.m_Idempotent && !m_Call.m_Terms.m_IdempotencyKey.empty())
@@ -82,7 +84,7 @@
 asio::awaitable<RequestOutcome> ChatCall::runKeyed() {
   KeyedCall Keyed(m_Context, m_Call, m_Pool->m_Pool.m_Id, *this);
   KeyedResult Result = co_await Keyed.run();
-  if (m_Gone)
+  if (m_CallerGone)
     co_return RequestOutcome::Unknown;
   if (Result.m_Outcome == RequestOutcome::Answered && !Result.m_Replay)
     co_return co_await finish();
@@ -106,12 +108,12 @@
 
 asio::awaitable<RequestOutcome> ChatCall::runUnkeyed() {
   m_Context.m_RetryBudget.deposit();
-  if (m_Gone)
+  if (m_CallerGone)
     co_return RequestOutcome::NotRun;
-  // The routes may be out of date after a wait.
+  // The routes may have changed while the request was queued.
   if (!refreshRoutes())
     co_return co_await giveUp(RequestOutcome::NotRun);
-  // Over all attempts: a later refusal does not undo an earlier run.
+  // Covers all attempts: a later refusal does not undo an earlier run.
   bool MayHaveRun = false;
   while (true) {
     const UpstreamRoute *To = co_await nextUpstream();
@@ -121,7 +123,7 @@
     MayHaveRun = MayHaveRun || End == AttemptEnd::Lost;
     if (End == AttemptEnd::Refused)
       m_Hints.noteRefusal(*To);
-    if (m_Gone)
+    if (m_CallerGone)
       co_return RequestOutcome::Unknown;
     if (End == AttemptEnd::Whole)
       co_return co_await finish();
@@ -151,7 +153,7 @@
   return true;
 }
 
-void ChatCall::forgetTokens() {
+void ChatCall::discardTokens() {
   m_Hints.m_Weights = {};
   m_Hints.m_Digest = {};
   m_NextIndex = 0;
@@ -160,15 +162,16 @@
 
 asio::awaitable<const UpstreamRoute *> ChatCall::nextUpstream() {
   const TimePoint GiveUpAt =
-      std::min<TimePoint>(m_Call.m_Deadline, now() + StaleRoutesLimit);
+      std::min<TimePoint>(m_Call.m_Deadline, now() + StaleRoutesTimeout);
   const UpstreamRoute *Picked = pick();
   if (!Picked && !m_Answer.started()) {
-    forgetTokens();
+    discardTokens();
     Picked = pick();
   }
   asio::steady_timer Pause(co_await asio::this_coro::executor);
-  while (!Picked && !m_Hints.m_Refused.empty() && !m_Gone && now() < GiveUpAt) {
-    Pause.expires_after(StaleRoutesPoll);
+  while (!Picked && !m_Hints.m_Refused.empty() && !m_CallerGone &&
+         now() < GiveUpAt) {
+    Pause.expires_after(StaleRoutesPollInterval);
     co_await Pause.async_wait(asio::use_awaitable);
     if (!refreshRoutes())
       break;
@@ -187,51 +190,51 @@
 asio::awaitable<AttemptEnd> ChatCall::attempt(const UpstreamRoute &To) {
   ++m_Attempts;
   m_Hints.m_Tried.insert(To.m_Instance);
-  m_Upstream = To.m_Address;
+  m_UpstreamAddress = To.m_Address;
   const auto Counters = m_Routes->m_Counters.at(To.m_Instance);
   const InFlightGuard Counted(Counters);
   const TimePoint SentAt = now();
-  net::HttpRequest Request = boundRequest(m_Call, m_Pool->m_Pool.m_Id, To);
+  net::HttpRequest Request = makeAgentRequest(m_Call, m_Pool->m_Pool.m_Id, To);
   Request.m_Headers.add(header::ContentType, "application/json");
   if (m_Claim)
     addClaim(Request.m_Headers, *m_Claim);
   Request.m_Body = resumeBody();
   const Duration Left = m_Call.m_Deadline - now();
-  const auto Limit = attemptLimit(Left, m_Call.m_Terms.m_Idempotent);
+  const auto Limit = attemptTimeout(Left, m_Call.m_Terms.m_Idempotent);
   const net::CallLimits Limits{.m_FirstByte = Limit,
-                               .m_BetweenBytes = stallLimitAt(To)};
+                               .m_BetweenBytes = stallTimeoutAt(To)};
   auto Opened = co_await m_Context.m_Process.m_Http.open(
-      To.m_Address, std::move(Request), Limits, &m_Opening);
+      To.m_Address, std::move(Request), Limits, &m_OpenCancel);
   if (!Opened) {
-    if (!m_Gone)
+    if (!m_CallerGone)
       Counters->failed(To.m_Instance);
     co_return attemptEndOf(Opened.error());
   }
   net::HttpStream &Stream = **Opened;
-  const AttemptEnd Told = attemptEndOf(Stream.headers(), m_Call.m_Id);
-  if (Told == AttemptEnd::Lost)
+  const AttemptEnd ReportedEnd = attemptEndOf(Stream.headers(), m_Call.m_Id);
+  if (ReportedEnd == AttemptEnd::Lost)
     Counters->failed(To.m_Instance);
-  if (Told != AttemptEnd::Whole)
-    co_return Told;
+  if (ReportedEnd != AttemptEnd::Whole)
+    co_return ReportedEnd;
   Counters->answered(now() - SentAt);
   if (Stream.status() != 200)
-    co_return co_await passOn(Stream);
+    co_return co_await forwardResponse(Stream);
   m_Hints.m_Weights = To.m_Weights;
   m_Hints.m_Digest = To.m_Digest;
-  m_Open = &Stream;
+  m_Stream = &Stream;
   StreamBinding Bound{.m_RequestId = m_Call.m_Id,
                       .m_Weights = To.m_Weights,
                       .m_Digest = toHex(To.m_Digest),
                       .m_FirstIndex = m_NextIndex};
   const AttemptEnd End = co_await readStream(Stream, std::move(Bound));
-  m_Open = nullptr;
-  if (End == AttemptEnd::Lost && !m_Gone)
+  m_Stream = nullptr;
+  if (End == AttemptEnd::Lost && !m_CallerGone)
     Counters->failed(To.m_Instance);
   co_return End;
 }
 
 std::chrono::milliseconds
-ChatCall::stallLimitAt(const UpstreamRoute &To) const {
+ChatCall::stallTimeoutAt(const UpstreamRoute &To) const {
   PickHints Others = m_Hints;
   Others.m_Weights = To.m_Weights;
   Others.m_Digest = To.m_Digest;
@@ -249,7 +252,7 @@
   TokenStreamChecker Checker(std::move(Bound));
   while (true) {
     auto Piece = co_await Stream.read();
-    if (!Piece || m_Gone)
+    if (!Piece || m_CallerGone)
       co_return AttemptEnd::Lost;
     if (Piece->empty())
       co_return Checker.finished() ? AttemptEnd::Whole : AttemptEnd::Lost;
@@ -259,8 +262,8 @@
     m_NextIndex = Checker.nextIndex();
     const bool Delivered = co_await deliver(Step);
     if (!Delivered)
-      m_Gone = true;
-    if (m_Gone || Step.m_Fault != StreamFault::None)
+      m_CallerGone = true;
+    if (m_CallerGone || Step.m_Fault != StreamFault::None)
       co_return AttemptEnd::Lost;
   }
 }
@@ -289,7 +292,7 @@
   co_return co_await m_Answer.begin(200, std::move(Headers));
 }
 
-asio::awaitable<AttemptEnd> ChatCall::passOn(net::HttpStream &Stream) {
+asio::awaitable<AttemptEnd> ChatCall::forwardResponse(net::HttpStream &Stream) {
   net::HttpResponse Response;
   Response.m_Status = Stream.status();
   while (true) {
@@ -299,17 +302,17 @@
     if (Piece->empty())
       break;
     Response.m_Body += *Piece;
-    if (Response.m_Body.size() > MaxPassedOnBytes)
+    if (Response.m_Body.size() > MaxForwardedBytes)
       co_return AttemptEnd::Lost;
   }
   Response.m_Headers.add(header::ContentType, std::string(Stream.headers().find(
                                                   header::ContentType)));
-  m_PassedOn = std::move(Response);
+  m_ForwardedResponse = std::move(Response);
   co_return AttemptEnd::Whole;
 }
 
 asio::awaitable<RequestOutcome> ChatCall::finish() {
-  if (m_Streaming && !m_PassedOn) {
+  if (m_Streaming && !m_ForwardedResponse) {
     bool Good = co_await beginStream();
     if (Good)
       Good = co_await m_Answer.write(StreamEnd);
@@ -318,8 +321,8 @@
     co_return RequestOutcome::Answered;
   }
   net::HttpResponse Response;
-  if (m_PassedOn) {
-    Response = std::move(*m_PassedOn);
+  if (m_ForwardedResponse) {
+    Response = std::move(*m_ForwardedResponse);
   } else {
     const boost::json::value Choice{
         {"index", 0},
@@ -343,7 +346,7 @@
 }
 
 asio::awaitable<RequestOutcome> ChatCall::giveUp(RequestOutcome Outcome) {
-  const Duration RetryAfter = jittered(NoUpstreamRetry);
+  const Duration RetryAfter = jittered(NoUpstreamRetryAfter);
   if (m_Answer.started()) {
     const boost::json::object Event{
         {"id", m_Call.m_Id},
@@ -368,17 +371,18 @@
 }
 
 void ChatCall::callerGone() {
-  m_Gone = true;
-  if (m_Open) {
-    m_Open->cancel();
+  m_CallerGone = true;
+  if (m_Stream) {
+    m_Stream->cancel();
     return;
   }
-  m_Opening.cancel();
-  if (m_Upstream.empty())
+  m_OpenCancel.cancel();
+  if (m_UpstreamAddress.empty())
     return;
   Process &In = m_Context.m_Process;
   asio::co_spawn(In.m_Threads.nextWorker(),
-                 cancelRequest(In, m_Upstream, m_Call.m_Id), asio::detached);
+                 cancelRequest(In, m_UpstreamAddress, m_Call.m_Id),
+                 asio::detached);
 }
 
 } // namespace deckpitch::daemon
--- a/src/daemon/entry-chat.h
+++ b/src/daemon/entry-chat.h
@@ -1,4 +1,4 @@
-// One caller's chat completion on its way through an entry.
+// Handles one caller's chat completion in an entry.
 #pragma once
 
 #include "daemon/entry-keyed.h"
@@ -10,9 +10,9 @@
 
 namespace deckpitch::daemon {
 
-/// Runs one request: tries upstreams until one gives the whole answer,
-/// resuming a broken one where it stopped, or tells the caller at once that
-/// there will be none. Lives on one worker.
+/// Runs one request: tries upstreams until one completes the answer, resuming
+/// an interrupted stream at its next token, or reports to the caller
+/// immediately that there will be no answer. Used on one worker thread only.
 class ChatCall final : private ClaimedSender {
 public:
   ChatCall(EntryContext &In, CallerRequest Call, net::HttpResponder &Answer);
@@ -21,30 +21,32 @@
   boost::asio::awaitable<RequestOutcome> run();
 
 private:
-  /// Why the request cannot be passed on, if so.
+  /// Validates the request and finds its pool; returns a refusal on failure.
   std::optional<NotRun> prepare();
   boost::asio::awaitable<RequestOutcome> runUnkeyed();
   boost::asio::awaitable<RequestOutcome> runKeyed();
   boost::asio::awaitable<AttemptEnd>
   sendClaimed(std::shared_ptr<const EntryRoutes> Routes, UpstreamRoute To,
               Claim Claimed) override;
-  /// Waits a little for fresh routes when upstreams refused the request
-  /// because those in use are out of date; null when none can take it.
+  /// Picks the next upstream, or null if none can take the request. When
+  /// upstreams refused it because the routes are stale, waits up to
+  /// StaleRoutesTimeout for new ones.
   boost::asio::awaitable<const UpstreamRoute *> nextUpstream();
   const UpstreamRoute *pick() const;
-  /// So that the next attempt may start anew, on any weights.
-  void forgetTokens();
-  /// False when the pool is gone.
+  /// Discards the tokens received so far and the binding to their weights, so
+  /// that the next attempt may start from the beginning on any weights.
+  void discardTokens();
+  /// Loads the current routes; returns false if the pool no longer exists.
   bool refreshRoutes();
   boost::asio::awaitable<AttemptEnd> attempt(const UpstreamRoute &To);
-  std::chrono::milliseconds stallLimitAt(const UpstreamRoute &To) const;
+  std::chrono::milliseconds stallTimeoutAt(const UpstreamRoute &To) const;
   boost::asio::awaitable<AttemptEnd> readStream(net::HttpStream &Stream,
                                                 StreamBinding Bound);
   boost::asio::awaitable<bool> deliver(const StreamStep &Step);
   boost::asio::awaitable<RequestOutcome> finish();
   boost::asio::awaitable<RequestOutcome> giveUp(RequestOutcome Outcome);
-  /// An upstream's own refusal of the request, passed on as the answer.
-  boost::asio::awaitable<AttemptEnd> passOn(net::HttpStream &Stream);
+  /// Forwards an upstream's response other than 200 as the answer.
+  boost::asio::awaitable<AttemptEnd> forwardResponse(net::HttpStream &Stream);
   boost::asio::awaitable<bool> beginStream();
   void callerGone();
   std::string resumeBody() const;
@@ -60,12 +62,12 @@
   std::uint32_t m_Attempts = 0;
   std::uint64_t m_NextIndex = 0;
   std::string m_Content;
-  std::optional<net::HttpResponse> m_PassedOn;
-  net::HttpStream *m_Open = nullptr;
-  net::CallCancel m_Opening;
-  std::string m_Upstream;       ///< address of the attempt under way
-  std::optional<Claim> m_Claim; ///< of the attempt under way
-  bool m_Gone = false;
+  std::optional<net::HttpResponse> m_ForwardedResponse;
+  net::HttpStream *m_Stream = nullptr;
+  net::CallCancel m_OpenCancel;
+  std::string m_UpstreamAddress; ///< of the current attempt
+  std::optional<Claim> m_Claim;  ///< of the current attempt
+  bool m_CallerGone = false;
 };
 
 } // namespace deckpitch::daemon
--- a/src/daemon/entry-context.cc
+++ b/src/daemon/entry-context.cc
@@ -9,8 +9,9 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds LeastAttempt{50};
-constexpr int AttemptShare = 3;
+constexpr std::chrono::milliseconds MinAttemptTimeout{50};
+/// Divides the time left, so that time remains for another attempt.
+constexpr int AttemptTimeoutDivisor = 3;
 
 void addRetryAfter(net::HttpHeaders &Headers, Duration RetryAfter) {
   const auto Wait = std::max<std::int64_t>(1, milliseconds(RetryAfter).count());
@@ -55,30 +56,29 @@
   return Response;
 }
 
-boost::asio::awaitable<Turn> takeTurn(EntryContext &In,
-                                      std::shared_ptr<const EntryRoutes> Routes,
-                                      const PoolRoute &Pool,
-                                      const CallerRequest &Call) {
-  Turn Own;
+boost::asio::awaitable<PoolAdmission>
+awaitAdmission(EntryContext &In, std::shared_ptr<const EntryRoutes> Routes,
+               const PoolRoute &Pool, const CallerRequest &Call) {
+  PoolAdmission Admitted;
   if (Pool.m_Upstreams.empty())
-    co_return Own;
+    co_return Admitted;
   const PoolId Id = Pool.m_Pool.m_Id;
-  const auto Gate = In.m_Gates.of(Id);
+  const auto Gate = In.m_Gates.gateFor(Id);
   const AdmissionDecision Decision =
       co_await Gate->enter(*Routes, Pool, Call.m_Terms, Call.m_Deadline);
   if (Decision.m_Admitted)
-    Own.m_Held = std::make_unique<Admission>(Gate, Call.m_Terms.m_Organisation,
-                                             In.m_Routes, Id);
+    Admitted.m_Admission = std::make_unique<Admission>(
+        Gate, Call.m_Terms.m_Organisation, In.m_Routes, Id);
   else
-    Own.m_Refusal =
+    Admitted.m_Refusal =
         notRunResponse({.m_Status = 429,
                         .m_Reason = "the pool is busy",
                         .m_RetryAfter = jittered(Decision.m_RetryAfter)});
-  co_return Own;
+  co_return Admitted;
 }
 
-net::HttpRequest boundRequest(const CallerRequest &Call, const PoolId &Pool,
-                              const UpstreamRoute &To) {
+net::HttpRequest makeAgentRequest(const CallerRequest &Call, const PoolId &Pool,
+                                  const UpstreamRoute &To) {
   net::HttpRequest Out;
   Out.m_Method = Call.m_Http.m_Method;
   Out.m_Target = Call.m_Http.m_Target;
@@ -129,10 +129,10 @@
   return afterAttempt(End, State) == NextStep::TryAnother;
 }
 
-std::chrono::milliseconds attemptLimit(Duration TimeLeft, bool MayRetry) {
+std::chrono::milliseconds attemptTimeout(Duration TimeLeft, bool MayRetry) {
   const auto Left = milliseconds(TimeLeft);
-  const auto Limit = MayRetry ? Left / AttemptShare : Left;
-  return std::clamp(Limit, std::min(LeastAttempt, Left), Left);
+  const auto Limit = MayRetry ? Left / AttemptTimeoutDivisor : Left;
+  return std::clamp(Limit, std::min(MinAttemptTimeout, Left), Left);
 }
 
 Duration jittered(Duration Base) {
--- a/src/daemon/entry-context.h
+++ b/src/daemon/entry-context.h
@@ -1,4 +1,4 @@
-// What the requests of one entry share.
+// State shared by all requests of one entry, and helpers for attempts.
 #pragma once
 
 #include "daemon/call-headers.h"
@@ -17,7 +17,7 @@
 
 namespace deckpitch::daemon {
 
-/// Counts for the dump.
+/// Request counters, shown in the dump.
 struct EntryCounters {
   std::atomic<std::uint64_t> m_Requests{0};
   std::atomic<std::uint64_t> m_Answered{0};
@@ -31,6 +31,7 @@
   void count(RequestOutcome Outcome);
 };
 
+/// State shared by all requests of one entry.
 struct EntryContext {
   explicit EntryContext(Process &In)
       : m_Process(In), m_Routes(In), m_Claims(In) {}
@@ -44,7 +45,7 @@
   std::atomic<std::uint64_t> m_NextRequest{1};
 };
 
-/// A request that was read and may be passed on.
+/// A validated request of a caller, ready to be sent to an upstream.
 struct CallerRequest {
   std::string m_Id;
   CallTerms m_Terms;
@@ -52,50 +53,54 @@
   net::HttpRequest m_Http;
 };
 
-/// An answer that tells that nothing ran, and when to come back.
+/// A refusal that guarantees that the request did not run, with the time
+/// after which to retry.
 struct NotRun {
   unsigned m_Status = 503;
   std::string m_Reason;
   Duration m_RetryAfter{};
-  std::vector<std::string> m_Entries; ///< to use instead, if any
+  std::vector<std::string> m_Entries; ///< other entries to use instead
 };
 
 net::HttpResponse notRunResponse(const NotRun &Why);
 net::HttpResponse unknownResponse(std::string Reason, Duration RetryAfter);
 
-/// A request's place at its pool, or the answer that refuses it.
-struct Turn {
-  std::unique_ptr<Admission> m_Held; ///< null without need
+/// A request's admission to its pool, or the response that refuses it.
+struct PoolAdmission {
+  std::unique_ptr<Admission> m_Admission; ///< null if none is needed
   std::optional<net::HttpResponse> m_Refusal;
 };
 
-/// Waits for the request's turn; not at a pool without any upstream, where
-/// there is nothing to wait for.
-boost::asio::awaitable<Turn> takeTurn(EntryContext &In,
-                                      std::shared_ptr<const EntryRoutes> Routes,
-                                      const PoolRoute &Pool,
-                                      const CallerRequest &Call);
+/// Waits until the pool admits the request. A pool without upstreams admits it
+/// at once, since there is nothing to wait for.
+boost::asio::awaitable<PoolAdmission>
+awaitAdmission(EntryContext &In, std::shared_ptr<const EntryRoutes> Routes,
+               const PoolRoute &Pool, const CallerRequest &Call);
 
-/// A request to an agent, bound to what the instance must be at this moment.
-net::HttpRequest boundRequest(const CallerRequest &Call, const PoolId &Pool,
-                              const UpstreamRoute &To);
+/// Makes the request to an agent, bound to the incarnation and weights that the
+/// instance must have for the request to run there.
+net::HttpRequest makeAgentRequest(const CallerRequest &Call, const PoolId &Pool,
+                                  const UpstreamRoute &To);
 
-/// How a failed attempt ended, and whether the answer says for certain that
-/// nothing ran.
+/// Classifies an attempt that failed with an error: Unreachable if the request
+/// was certainly not sent, Lost if it may have run.
 AttemptEnd attemptEndOf(const Error &Fault);
-/// The end that an agent's answer tells; checks whose answer it is.
+/// Classifies an attempt by the headers of the agent's answer. An answer to
+/// another request counts as Lost.
 AttemptEnd attemptEndOf(const net::HttpHeaders &Headers,
                         const std::string &RequestId);
 
-/// Whether another upstream may be tried; takes from the budget if it must.
+/// Tells whether another upstream may be tried; withdraws from the retry budget
+/// where the attempt's end requires it.
 bool mayRetry(EntryContext &In, const CallerRequest &Call,
               std::uint32_t Attempts, AttemptEnd End);
 
-/// The longest that one attempt may wait for its first byte, so that another
-/// upstream can still be tried.
-std::chrono::milliseconds attemptLimit(Duration TimeLeft, bool MayRetry);
+/// Returns how long one attempt may wait for its first byte, such that time
+/// remains to try another upstream if MayRetry.
+std::chrono::milliseconds attemptTimeout(Duration TimeLeft, bool MayRetry);
 
-/// A time to come back at, spread so that callers do not return together.
+/// Returns Base times a random factor, so that callers do not retry
+/// simultaneously.
 Duration jittered(Duration Base);
 
 } // namespace deckpitch::daemon
--- a/src/daemon/entry-keyed.cc
+++ b/src/daemon/entry-keyed.cc
@@ -9,12 +9,13 @@
 namespace {
 
 constexpr int MaxRounds = 4;
-constexpr std::chrono::milliseconds ClaimLimit{1'000};
-constexpr std::chrono::milliseconds AskLimit{500};
+constexpr std::chrono::milliseconds ClaimTimeout{1'000};
+constexpr std::chrono::milliseconds QueryTimeout{500};
 constexpr std::chrono::milliseconds RetryAfter{500};
-constexpr std::chrono::seconds TicketUse{5};
-constexpr net::CallLimits AskLimits{
-    .m_Connect = AskLimit, .m_FirstByte = AskLimit, .m_BetweenBytes = AskLimit};
+constexpr std::chrono::seconds MaxTicketAge{5};
+constexpr net::CallLimits QueryLimits{.m_Connect = QueryTimeout,
+                                      .m_FirstByte = QueryTimeout,
+                                      .m_BetweenBytes = QueryTimeout};
 
 KeyedResult resultOf(RequestOutcome Outcome, std::string Reason) {
   return {.m_Outcome = Outcome,
@@ -23,7 +24,7 @@
 }
 
 template <typename Number>
-std::optional<Number> numberIn(std::string_view Text) {
+std::optional<Number> parseNumber(std::string_view Text) {
   Number Value = 0;
   const char *End = Text.data() + Text.size();
   const auto [Rest, Ec] = std::from_chars(Text.data(), End, Value);
@@ -32,15 +33,15 @@
   return Value;
 }
 
-KeyedResult replayOf(net::HttpResponse Told) {
+KeyedResult replayOf(net::HttpResponse Reply) {
   const auto Status =
-      numberIn<unsigned>(Told.m_Headers.find(header::StoredStatus));
+      parseNumber<unsigned>(Reply.m_Headers.find(header::StoredStatus));
   if (!Status)
     return resultOf(RequestOutcome::Unknown, "it ran; its answer was not kept");
   KeyedResult Result = resultOf(RequestOutcome::Answered, "");
   Result.m_Replay = StoredAnswer{
-      *Status, std::string(Told.m_Headers.find(header::ContentType)),
-      std::move(Told.m_Body)};
+      *Status, std::string(Reply.m_Headers.find(header::ContentType)),
+      std::move(Reply.m_Body)};
   return Result;
 }
 
@@ -76,12 +77,13 @@
       m_Key(claimKeyOf(Call.m_Terms.m_Organisation, m_Pool,
                        Call.m_Terms.m_IdempotencyKey)) {}
 
-/// A key that is known to be claimed is asked about first: its answer needs
-/// neither the platform nor a ready instance.
+/// Resolves a known claim of the key first: this needs neither the platform nor
+/// a ready instance.
 asio::awaitable<KeyedResult> KeyedCall::run() {
-  std::optional<Claim> Standing = co_await m_Context.m_Claims.find(m_Key);
-  if (Standing) {
-    std::optional<KeyedResult> Known = co_await consult(std::move(*Standing));
+  std::optional<Claim> Existing = co_await m_Context.m_Claims.find(m_Key);
+  if (Existing) {
+    std::optional<KeyedResult> Known =
+        co_await resolveClaim(std::move(*Existing));
     if (Known)
       co_return std::move(*Known);
   }
@@ -118,13 +120,13 @@
   Wanted.m_Ticket = *Ticket;
   Wanted.m_Attempt = m_Attempt;
   const TimePoint GiveUpAt =
-      std::min<TimePoint>(m_Call.m_Deadline, now() + ClaimLimit);
+      std::min<TimePoint>(m_Call.m_Deadline, now() + ClaimTimeout);
   const ClaimSettled Settled =
       co_await m_Context.m_Claims.claim(Wanted, GiveUpAt);
   if (Settled.m_Verdict == ClaimSettled::Verdict::Refused)
     co_return resultOf(RequestOutcome::NotRun, "the key cannot be claimed now");
   if (Settled.m_Verdict == ClaimSettled::Verdict::Taken)
-    co_return co_await consult(Settled.m_Claim);
+    co_return co_await resolveClaim(Settled.m_Claim);
   co_return co_await send(To, Wanted);
 }
 
@@ -136,9 +138,9 @@
   if (End == AttemptEnd::Whole)
     co_return resultOf(RequestOutcome::Answered, "");
   if (End == AttemptEnd::Lost) {
-    std::optional<KeyedResult> Told = co_await consult(Claimed);
-    if (Told)
-      co_return Told;
+    std::optional<KeyedResult> Reply = co_await resolveClaim(Claimed);
+    if (Reply)
+      co_return Reply;
     co_return resultOf(RequestOutcome::NotRun,
                        "the instance did not run it and never will");
   }
@@ -147,31 +149,32 @@
   co_return std::nullopt;
 }
 
-asio::awaitable<std::optional<KeyedResult>> KeyedCall::consult(Claim Standing) {
+asio::awaitable<std::optional<KeyedResult>>
+KeyedCall::resolveClaim(Claim Existing) {
   const auto View = m_Context.m_Process.m_Membership.load();
-  const auto Holder = View->m_Members.find(Standing.m_Instance);
+  const auto Holder = View->m_Members.find(Existing.m_Instance);
   if (Holder == View->m_Members.end() ||
-      Holder->second.m_Incarnation != Standing.m_Incarnation)
+      Holder->second.m_Incarnation != Existing.m_Incarnation)
     co_return resultOf(RequestOutcome::Unknown,
                        "the instance that may have run it is gone");
-  net::HttpRequest Ask;
-  Ask.m_Method = "POST";
-  Ask.m_Target = agentpath::Fence;
-  Ask.m_Headers.add(header::Incarnation,
-                    std::to_string(Standing.m_Incarnation.m_Value));
-  addClaim(Ask.m_Headers, Standing);
-  auto Told = co_await m_Context.m_Process.m_Http.call(
-      Holder->second.m_Addresses.m_Requests, std::move(Ask), AskLimits);
-  if (!Told)
+  net::HttpRequest Query;
+  Query.m_Method = "POST";
+  Query.m_Target = agentpath::Fence;
+  Query.m_Headers.add(header::Incarnation,
+                      std::to_string(Existing.m_Incarnation.m_Value));
+  addClaim(Query.m_Headers, Existing);
+  auto Reply = co_await m_Context.m_Process.m_Http.call(
+      Holder->second.m_Addresses.m_Requests, std::move(Query), QueryLimits);
+  if (!Reply)
     co_return resultOf(RequestOutcome::Unknown,
                        "the instance that may have run it does not answer");
-  const std::string State(Told->m_Headers.find(header::RunState));
+  const std::string State(Reply->m_Headers.find(header::RunState));
   if (State == "never-ran") {
-    m_Attempt = Standing.m_Attempt + 1;
+    m_Attempt = Existing.m_Attempt + 1;
     co_return std::nullopt;
   }
   if (State == "done")
-    co_return replayOf(std::move(*Told));
+    co_return replayOf(std::move(*Reply));
   if (State == "running")
     co_return resultOf(RequestOutcome::Unknown, "it is running");
   co_return resultOf(RequestOutcome::Unknown, "it may have run");
@@ -180,24 +183,24 @@
 asio::awaitable<std::optional<std::uint64_t>>
 KeyedCall::ticketOf(UpstreamRoute To) {
   auto Counters = m_Routes->m_Counters.at(To.m_Instance);
-  const auto Seen = Counters->m_Ticket.load();
-  if (Seen->m_Ticket != 0 && Seen->m_Incarnation == To.m_Incarnation &&
-      now() - Seen->m_At < TicketUse)
-    co_return Seen->m_Ticket;
-  const TimePoint Asked = now();
-  net::HttpRequest Ask;
-  Ask.m_Target = agentpath::Ticket;
-  Ask.m_Headers.add(header::Incarnation,
-                    std::to_string(To.m_Incarnation.m_Value));
-  const auto Told = co_await m_Context.m_Process.m_Http.call(
-      To.m_Address, std::move(Ask), AskLimits);
-  if (!Told || Told->m_Status != 200)
+  const auto Cached = Counters->m_Ticket.load();
+  if (Cached->m_Ticket != 0 && Cached->m_Incarnation == To.m_Incarnation &&
+      now() - Cached->m_At < MaxTicketAge)
+    co_return Cached->m_Ticket;
+  const TimePoint RequestedAt = now();
+  net::HttpRequest Query;
+  Query.m_Target = agentpath::Ticket;
+  Query.m_Headers.add(header::Incarnation,
+                      std::to_string(To.m_Incarnation.m_Value));
+  const auto Reply = co_await m_Context.m_Process.m_Http.call(
+      To.m_Address, std::move(Query), QueryLimits);
+  if (!Reply || Reply->m_Status != 200)
     co_return std::nullopt;
   const auto Ticket =
-      numberIn<std::uint64_t>(Told->m_Headers.find(header::ClaimTicket));
+      parseNumber<std::uint64_t>(Reply->m_Headers.find(header::ClaimTicket));
   if (Ticket)
-    Counters->m_Ticket.publish(std::make_shared<const TicketSeen>(
-        TicketSeen{To.m_Incarnation, *Ticket, Asked}));
+    Counters->m_Ticket.publish(std::make_shared<const CachedTicket>(
+        CachedTicket{To.m_Incarnation, *Ticket, RequestedAt}));
   co_return Ticket;
 }
 
--- a/src/daemon/entry-keyed.h
+++ b/src/daemon/entry-keyed.h
@@ -1,4 +1,4 @@
-// Runs a non-idempotent call that has a key at most once.
+// Runs a non-idempotent call with an idempotency key at most once.
 #pragma once
 
 #include "daemon/entry-context.h"
@@ -9,7 +9,8 @@
 
 namespace deckpitch::daemon {
 
-/// Sends one claimed run; implemented by the calls.
+/// Sends the attempt that a claim allows; implemented by ChatCall and
+/// ServiceCall.
 class ClaimedSender {
 public:
   virtual ~ClaimedSender() = default;
@@ -18,6 +19,7 @@
               Claim Claimed) = 0;
 };
 
+/// The outcome of a keyed call.
 struct KeyedResult {
   RequestOutcome m_Outcome = RequestOutcome::NotRun;
   std::string m_Reason;
@@ -25,7 +27,7 @@
   std::optional<StoredAnswer> m_Replay; ///< the answer of an earlier call
 };
 
-/// Claims the key, sends the run once, and finds out what became of it.
+/// Claims the key, sends the request once, and determines its outcome.
 class KeyedCall {
 public:
   KeyedCall(EntryContext &In, const CallerRequest &Call, PoolId Pool,
@@ -34,12 +36,18 @@
   boost::asio::awaitable<KeyedResult> run();
 
 private:
-  /// One round; nothing when another may be tried.
+  /// Tries one claim and one attempt; returns nothing if another round may
+  /// follow.
   boost::asio::awaitable<std::optional<KeyedResult>> round();
   boost::asio::awaitable<std::optional<KeyedResult>> send(UpstreamRoute To,
                                                           Claim Claimed);
-  /// What a claim that stands means for this call.
-  boost::asio::awaitable<std::optional<KeyedResult>> consult(Claim Standing);
+  /// Asks the instance of an existing claim for the state of its run. Returns
+  /// nothing if that run never started and never will, so that a new attempt
+  /// may be claimed.
+  boost::asio::awaitable<std::optional<KeyedResult>>
+  resolveClaim(Claim Existing);
+  /// Returns the instance's ticket, from the cache if it is recent; nothing if
+  /// the instance does not provide one.
   boost::asio::awaitable<std::optional<std::uint64_t>>
   ticketOf(UpstreamRoute To);
 
@@ -53,11 +61,12 @@
   std::shared_ptr<const EntryRoutes> m_Routes;
 };
 
+/// Makes the response that repeats a stored answer.
 net::HttpResponse replayResponse(const StoredAnswer &Answer);
-/// The answer for an outcome other than Answered.
+/// Makes the response for an outcome other than Answered.
 net::HttpResponse failureResponse(const KeyedResult &Result);
 
-/// Adds what the agent checks a claimed run by.
+/// Adds the headers by which the agent checks a claimed run.
 void addClaim(net::HttpHeaders &Headers, const Claim &Claimed);
 
 } // namespace deckpitch::daemon
--- a/src/daemon/entry-requests.cc
+++ b/src/daemon/entry-requests.cc
@@ -10,9 +10,10 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds LeavingRetry{1};
+/// Retry-After of a leaving entry; short, since callers go to another entry.
+constexpr std::chrono::milliseconds LeavingRetryAfter{1};
 
-/// Counts one request as open for as long as it lives.
+/// Counts one request as open during its lifetime.
 class OpenRequest {
 public:
   explicit OpenRequest(EntryCounters &Counted) : m_Counted(Counted) {
@@ -27,7 +28,7 @@
   EntryCounters &m_Counted;
 };
 
-/// The callers' side of an entry.
+/// Serves the HTTP interface of an entry to callers.
 class EntryRequests final : public Module {
 public:
   explicit EntryRequests(Process &In) : m_Process(In), m_Context(In) {}
@@ -43,7 +44,7 @@
   asio::awaitable<void> addresses(net::HttpResponder &Answer);
   asio::awaitable<void> serve(net::HttpRequest Request,
                               net::HttpResponder &Answer, bool IsChat);
-  /// Reads the request into Call, or tells why it is refused.
+  /// Reads the request into Call, or returns why it is refused.
   std::optional<NotRun> readCall(net::HttpRequest Request, bool IsChat,
                                  CallerRequest &Call);
   std::vector<std::string> otherEntries();
@@ -80,8 +81,9 @@
   m_Context.m_Routes.stop();
 }
 
-/// Stays until the address answers that still name it have run out, so that
-/// their askers are redirected rather than refused a connection.
+/// Keeps the entry running until the address lists that name it have expired,
+/// so that callers who use one are redirected rather than refused a
+/// connection.
 bool EntryRequests::drained() const {
   const auto Lifetime = m_Process.m_Settings.m_Requests.m_AddressLifetime;
   return m_Context.m_Counters.m_Open.load() == 0 &&
@@ -96,8 +98,8 @@
   co_await Answer.send(net::jsonResponse(200, boost::json::serialize(Body)));
 }
 
-/// All entries that callers may use, in another order for each asker; this
-/// one too unless it is leaving.
+/// Returns all entries that callers may use, in a different order for each
+/// call to spread the load; includes this entry unless it is leaving.
 std::vector<std::string> EntryRequests::otherEntries() {
   const auto Routes = m_Context.m_Routes.routes();
   const InstanceId &Self = m_Process.m_Settings.m_Instance;
@@ -141,7 +143,7 @@
                                               CallerRequest &Call) {
   if (m_Process.m_Leaving.load())
     return NotRun{.m_Reason = "this entry is leaving",
-                  .m_RetryAfter = LeavingRetry,
+                  .m_RetryAfter = LeavingRetryAfter,
                   .m_Entries = otherEntries()};
   const net::HttpHeaders &Headers = Request.m_Headers;
   const CallHeaders Given{
--- a/src/daemon/entry-routes.cc
+++ b/src/daemon/entry-routes.cc
@@ -11,8 +11,8 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds RefreshPeriod{20};
-/// Until an upstream's agent says what it can take.
+constexpr std::chrono::milliseconds RefreshInterval{20};
+/// Concurrent requests assumed until an upstream's agent reports its limit.
 constexpr double DefaultLimit = 64;
 
 std::minstd_rand &generator() {
@@ -25,7 +25,7 @@
           Route.m_Digest};
 }
 
-bool fits(const UpstreamRoute &Route, const PickHints &Hints) {
+bool isEligible(const UpstreamRoute &Route, const PickHints &Hints) {
   if (Hints.m_Tried.contains(Route.m_Instance) ||
       std::ranges::find(Hints.m_Refused, bindingOf(Route)) !=
           Hints.m_Refused.end())
@@ -63,9 +63,9 @@
 
 namespace {
 
-/// Whether the table before had the same load report of that upstream.
-bool sameReport(const EntryRoutes &Before, const PoolId &Pool,
-                const UpstreamRoute &Route) {
+/// Tells whether the previous routes hold the same load report of the upstream.
+bool hasSameReport(const EntryRoutes &Before, const PoolId &Pool,
+                   const UpstreamRoute &Route) {
   const auto Known = Before.m_Table.m_Pools.find(Pool);
   if (Known == Before.m_Table.m_Pools.end())
     return false;
@@ -84,19 +84,19 @@
 
 void UpstreamCounters::answered(Duration Latency) {
   std::lock_guard Lock(m_Mutex);
-  m_Learned.sample(Latency, m_InFlight.load(), now());
+  m_LearnedLimit.sample(Latency, m_InFlight.load(), now());
   m_Ejection.succeeded();
-  m_Limit.store(m_Learned.limit(), std::memory_order_relaxed);
+  m_Limit.store(m_LearnedLimit.limit(), std::memory_order_relaxed);
 }
 
-void UpstreamCounters::failed(const InstanceId &Of) {
+void UpstreamCounters::failed(const InstanceId &Instance) {
   std::lock_guard Lock(m_Mutex);
-  m_Learned.overloaded(now());
+  m_LearnedLimit.overloaded(now());
   if (m_Ejection.failed(now()))
     net::log(Event::InstanceEjected,
-             {{"instance", Of.m_Text},
+             {{"instance", Instance.m_Text},
               {"forMs", wholeMs(m_Ejection.until() - now())}});
-  m_Limit.store(m_Learned.limit(), std::memory_order_relaxed);
+  m_Limit.store(m_LearnedLimit.limit(), std::memory_order_relaxed);
   m_EjectedUntil.store(m_Ejection.until().time_since_epoch().count(),
                        std::memory_order_relaxed);
 }
@@ -125,7 +125,7 @@
     m_MembershipSeen = Membership;
     rebuild();
   }
-  m_Timer.expires_after(RefreshPeriod);
+  m_Timer.expires_after(RefreshInterval);
   m_Timer.async_wait([this](const boost::system::error_code &Ec) {
     if (!Ec)
       poll();
@@ -144,7 +144,7 @@
       Counters = Known != Before->m_Counters.end()
                      ? Known->second
                      : std::make_shared<UpstreamCounters>();
-      if (!sameReport(*Before, Name, Each))
+      if (!hasSameReport(*Before, Name, Each))
         Counters->m_InFlightAtReport = Counters->m_InFlight.load();
     }
   }
@@ -163,7 +163,7 @@
   std::vector<Candidate> Candidates;
   for (std::size_t I = 0; I < Pool.m_Upstreams.size(); ++I) {
     const UpstreamRoute &Route = Pool.m_Upstreams[I];
-    if (!fits(Route, Hints))
+    if (!isEligible(Route, Hints))
       continue;
     Candidate Added = candidateOf(
         Route, *Routes.m_Counters.at(Route.m_Instance), Home, Hints);
--- a/src/daemon/entry-routes.h
+++ b/src/daemon/entry-routes.h
@@ -1,4 +1,4 @@
-// The entry's route table and what it counts for each upstream.
+// The route table of an entry and its counters for each upstream.
 #pragma once
 
 #include "daemon/module.h"
@@ -19,39 +19,40 @@
 
 namespace deckpitch::daemon {
 
-/// An agent's clock as it was told last.
-struct TicketSeen {
+/// The last ticket received from an agent: its clock, which dates claims.
+struct CachedTicket {
   Incarnation m_Incarnation;
   std::uint64_t m_Ticket = 0;
   TimePoint m_At;
 };
 
-/// One upstream as this entry sees it; outlives route tables.
+/// Requests, learned limit and ejection of one upstream, as observed by this
+/// entry; kept across route tables.
 class UpstreamCounters {
 public:
-  /// An attempt got its first byte after that long.
+  /// Records an attempt whose first byte arrived after Latency.
   void answered(Duration Latency);
-  void failed(const InstanceId &Of);
+  void failed(const InstanceId &Instance);
   double limit() const { return m_Limit.load(std::memory_order_relaxed); }
   bool ejected(TimePoint Now) const {
     return Now.time_since_epoch().count() <
            m_EjectedUntil.load(std::memory_order_relaxed);
   }
 
-  SnapshotCell<TicketSeen> m_Ticket;
+  SnapshotCell<CachedTicket> m_Ticket;
   std::atomic<std::uint32_t> m_InFlight{0};
-  /// Of m_InFlight, when the load report in force came.
+  /// The value of m_InFlight when the current load report arrived.
   std::atomic<std::uint32_t> m_InFlightAtReport{0};
 
 private:
-  std::mutex m_Mutex; ///< held to learn from one attempt only
-  ConcurrencyLimit m_Learned;
+  std::mutex m_Mutex; ///< held only while recording one attempt
+  ConcurrencyLimit m_LearnedLimit;
   Ejection m_Ejection;
   std::atomic<double> m_Limit{ConcurrencyLimit().limit()};
   std::atomic<Duration::rep> m_EjectedUntil{0};
 };
 
-/// Counts one attempt in flight for as long as it lives.
+/// Counts one attempt as in flight during its lifetime.
 class InFlightGuard {
 public:
   explicit InFlightGuard(std::shared_ptr<UpstreamCounters> Counted)
@@ -68,14 +69,14 @@
   std::shared_ptr<UpstreamCounters> m_Counted;
 };
 
-/// What requests read: never changed once published.
+/// The routes that requests use; immutable once published.
 struct EntryRoutes {
   RouteTable m_Table;
   std::map<InstanceId, std::shared_ptr<UpstreamCounters>> m_Counters;
 };
 
-/// Rebuilds the routes when declarations or membership changed, at most once
-/// in RefreshPeriod, on the control loop.
+/// Rebuilds the routes after a change of declarations or membership, at most
+/// once per RefreshInterval, on the control loop.
 class RouteSource {
 public:
   explicit RouteSource(Process &In);
@@ -95,12 +96,14 @@
   SnapshotCell<EntryRoutes> m_Routes;
 };
 
-/// How many requests the pool's upstreams take at once from this entry: what
-/// it learned of each, but not less than its share of what the instance says,
-/// since first bytes that differ by nature look like load.
+/// Returns how many concurrent requests the pool's upstreams take from this
+/// entry. For each instance this is the learned limit, but at least the
+/// entry's share of the limit that the instance reports: latencies of the first
+/// byte that vary with the requests would otherwise be mistaken for load.
 double capacityOf(const EntryRoutes &Routes, const PoolRoute &Pool);
 
-/// What an instance was taken for when its agent refused an attempt.
+/// The incarnation and weights that the routes gave for an instance when its
+/// agent refused an attempt.
 struct RefusedBinding {
   InstanceId m_Instance;
   Incarnation m_Incarnation;
@@ -111,20 +114,22 @@
                          const RefusedBinding &) = default;
 };
 
-/// What an attempt must or must not go to.
+/// Constraints on the upstream of the next attempt.
 struct PickHints {
-  std::set<InstanceId> m_Tried; ///< not again
-  /// Not again until the routes say something else of that instance.
+  std::set<InstanceId> m_Tried; ///< excluded
+  /// Excluded until the routes give another incarnation or other weights for
+  /// the instance.
   std::vector<RefusedBinding> m_Refused;
-  WeightsId m_Weights; ///< empty: any
-  Digest m_Digest;     ///< with m_Weights
+  WeightsId m_Weights; ///< required weights; any if empty
+  Digest m_Digest;     ///< of m_Weights
   std::uint64_t m_PrefixHash = 0;
 
-  /// The agent of that upstream said that the attempt did not run.
+  /// Records that the agent of an upstream refused the attempt, so that it did
+  /// not run. The instance is excluded only as routed now.
   void noteRefusal(const UpstreamRoute &By);
 };
 
-/// The upstream for the next attempt; null when none can take it.
+/// Returns the upstream for the next attempt, or null if none can take it.
 const UpstreamRoute *pickUpstream(const EntryRoutes &Routes,
                                   const PoolRoute &Pool,
                                   const DataCentreId &Home,
--- a/src/daemon/entry-service.cc
+++ b/src/daemon/entry-service.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds NoUpstreamRetry{500};
+constexpr std::chrono::milliseconds NoUpstreamRetryAfter{500};
 constexpr std::size_t MaxAnswerBytes = std::size_t{8} * 1024 * 1024;
 
 } // namespace
@@ -30,11 +30,12 @@
 asio::awaitable<RequestOutcome> ServiceCall::run() {
   if (!m_Pool)
     co_return co_await answerNoSuchPath();
-  Turn Own = co_await takeTurn(m_Context, m_Routes, *m_Pool, m_Call);
-  if (Own.m_Refusal)
+  PoolAdmission Admitted =
+      co_await awaitAdmission(m_Context, m_Routes, *m_Pool, m_Call);
+  if (Admitted.m_Refusal)
     co_return co_await answer(RequestOutcome::NotRun,
-                              std::move(*Own.m_Refusal));
-  // The routes may be out of date after a wait.
+                              std::move(*Admitted.m_Refusal));
+  // The routes may have changed while the request was queued.
   findPool();
   if (!m_Pool)
     co_return co_await answerNoSuchPath();
@@ -65,7 +66,7 @@
 
 asio::awaitable<RequestOutcome> ServiceCall::runUnkeyed() {
   m_Context.m_RetryBudget.deposit();
-  // Over all attempts: a later refusal does not undo an earlier run.
+  // Covers all attempts: a later refusal does not undo an earlier run.
   bool MayHaveRun = false;
   while (true) {
     const UpstreamRoute *To =
@@ -82,7 +83,7 @@
       break;
     m_Context.m_Counters.m_Retries.fetch_add(1, std::memory_order_relaxed);
   }
-  const Duration RetryAfter = jittered(NoUpstreamRetry);
+  const Duration RetryAfter = jittered(NoUpstreamRetryAfter);
   net::HttpResponse Response =
       MayHaveRun
           ? unknownResponse("no whole answer came", RetryAfter)
@@ -99,7 +100,7 @@
   const auto Counters = m_Routes->m_Counters.at(To.m_Instance);
   const InFlightGuard Counted(Counters);
   const TimePoint SentAt = now();
-  net::HttpRequest Request = boundRequest(m_Call, m_Pool->m_Pool.m_Id, To);
+  net::HttpRequest Request = makeAgentRequest(m_Call, m_Pool->m_Pool.m_Id, To);
   Request.m_Headers.add(
       header::ContentType,
       std::string(m_Call.m_Http.m_Headers.find(header::ContentType)));
@@ -110,7 +111,7 @@
     addClaim(Request.m_Headers, *m_Claim);
   Request.m_Body = m_Call.m_Http.m_Body;
   const auto Limit =
-      attemptLimit(m_Call.m_Deadline - now(), m_Call.m_Terms.m_Idempotent);
+      attemptTimeout(m_Call.m_Deadline - now(), m_Call.m_Terms.m_Idempotent);
   const net::CallLimits Limits{.m_FirstByte = Limit,
                                .m_BetweenBytes = Limit,
                                .m_BodyBytes = MaxAnswerBytes};
--- a/src/daemon/entry-service.h
+++ b/src/daemon/entry-service.h
@@ -1,4 +1,4 @@
-// One caller's request to a plain service on its way through an entry.
+// Handles one caller's request to a plain service in an entry.
 #pragma once
 
 #include "daemon/entry-keyed.h"
@@ -7,8 +7,8 @@
 
 namespace deckpitch::daemon {
 
-/// Runs one request; its answer is read whole before it is passed on. Lives
-/// on one worker.
+/// Runs one request and buffers the complete answer before forwarding it to
+/// the caller. Used on one worker thread only.
 class ServiceCall final : private ClaimedSender {
 public:
   ServiceCall(EntryContext &In, CallerRequest Call, net::HttpResponder &Answer);
@@ -34,7 +34,7 @@
   const PoolRoute *m_Pool = nullptr;
   PickHints m_Hints;
   std::uint32_t m_Attempts = 0;
-  std::optional<Claim> m_Claim; ///< of the attempt under way
+  std::optional<Claim> m_Claim; ///< of the current attempt
   net::HttpResponse m_Response;
 };
 
--- a/src/daemon/pool-gate.cc
+++ b/src/daemon/pool-gate.cc
@@ -37,7 +37,7 @@
   co_return decisionOf(Id, *Self, Terms);
 }
 
-/// The decision, or a refusal when the deadline came first.
+/// Returns the decision, or a refusal if the deadline passed first.
 AdmissionDecision PoolGate::decisionOf(AdmissionId Id, Waiter &Self,
                                        const CallTerms &Terms) {
   std::lock_guard Lock(m_Mutex);
@@ -59,12 +59,12 @@
   return m_Queue.waiting();
 }
 
-Duration PoolGate::expectedWait(Priority Of) {
+Duration PoolGate::expectedWait(Priority Level) {
   std::lock_guard Lock(m_Mutex);
-  return m_Queue.expectedWait(Of);
+  return m_Queue.expectedWait(Level);
 }
 
-/// Wakes those whose turn came; each on its own loop.
+/// Wakes the requests that the queue has decided on, each on its own loop.
 void PoolGate::deliver() {
   for (const AdmissionDecision &Each : m_Queue.takeDecisions()) {
     const auto Found = m_Waiters.find(Each.m_Id);
@@ -78,7 +78,8 @@
   }
 }
 
-/// By the routes of now: those at the admission may be long out of date.
+/// Takes the capacity from the current routes, since those at the time of
+/// admission may be stale.
 Admission::~Admission() {
   const auto Routes = m_Routes.routes();
   const auto Pool = Routes->m_Table.m_Pools.find(m_Pool);
@@ -86,7 +87,7 @@
   m_Gate->leave(m_Organisation, Known ? capacityOf(*Routes, Pool->second) : 0);
 }
 
-std::shared_ptr<PoolGate> PoolGates::of(const PoolId &Pool) {
+std::shared_ptr<PoolGate> PoolGates::gateFor(const PoolId &Pool) {
   std::lock_guard Lock(m_Mutex);
   auto &Gate = m_Gates[Pool];
   if (!Gate)
--- a/src/daemon/pool-gate.h
+++ b/src/daemon/pool-gate.h
@@ -1,4 +1,4 @@
-// The entry's queues, one for each pool.
+// Admission of requests to pools: one queue per pool in each entry.
 #pragma once
 
 #include "daemon/entry-routes.h"
@@ -12,26 +12,27 @@
 
 namespace deckpitch::daemon {
 
-/// One pool's queue, fed from all workers. Its lock is held for one decision
-/// at a time, by requests of the same pool only.
+/// The admission queue of one pool, used from all worker threads. Its lock is
+/// held for one decision at a time, so only requests of the same pool contend
+/// for it.
 class PoolGate {
 public:
-  /// Waits for the request's turn, on the caller's loop. After an admission
-  /// comes leave().
+  /// Waits on the caller's loop until the request is admitted or refused. Each
+  /// admission must be followed by leave().
   boost::asio::awaitable<AdmissionDecision> enter(const EntryRoutes &Routes,
                                                   const PoolRoute &Pool,
                                                   const CallTerms &Terms,
                                                   TimePoint Deadline);
   void leave(const OrganisationId &Organisation, double Capacity);
   std::size_t waiting();
-  /// How long a request that comes now would wait.
-  Duration expectedWait(Priority Of);
+  /// Returns how long a request that arrives now would wait.
+  Duration expectedWait(Priority Level);
 
 private:
   struct Waiter {
     explicit Waiter(const boost::asio::any_io_executor &Loop) : m_Timer(Loop) {}
     boost::asio::steady_timer m_Timer;
-    std::optional<AdmissionDecision> m_Decision; ///< under the gate's lock
+    std::optional<AdmissionDecision> m_Decision; ///< guarded by m_Mutex
   };
 
   void deliver();
@@ -44,17 +45,17 @@
   AdmissionId m_Next = 1;
 };
 
-/// The gates by pool; they outlive declarations.
+/// The gates of all pools; kept when the declaration of a pool is removed.
 class PoolGates {
 public:
-  std::shared_ptr<PoolGate> of(const PoolId &Pool);
+  std::shared_ptr<PoolGate> gateFor(const PoolId &Pool);
 
 private:
-  std::mutex m_Mutex; ///< held for one look-up only
+  std::mutex m_Mutex; ///< held for one lookup only
   std::map<PoolId, std::shared_ptr<PoolGate>> m_Gates;
 };
 
-/// A place among the requests that run; given back at the end of its scope.
+/// Holds one admission to a pool and releases it at the end of its lifetime.
 class Admission {
 public:
   Admission(std::shared_ptr<PoolGate> Gate, OrganisationId Organisation,
