--- a/src/daemon/agent-forward.cc
+++ b/src/daemon/agent-forward.cc
@@ -16,7 +16,7 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds EngineConnect{500};
+constexpr std::chrono::milliseconds EngineConnectTimeout{500};
 constexpr std::size_t MaxServiceAnswerBytes = std::size_t{8} * 1024 * 1024;
 constexpr std::size_t MaxRefusalBytes = std::size_t{64} * 1024;
 constexpr std::string_view StreamEnd = "data: [DONE]\n\n";
@@ -84,11 +84,12 @@
 
 asio::awaitable<ForwardEnd> EngineForward::run() {
   const auto Left = milliseconds(m_Request.m_TimeLeft);
-  const net::CallLimits Limits{
-      .m_Connect = EngineConnect, .m_FirstByte = Left, .m_BetweenBytes = Left};
+  const net::CallLimits Limits{.m_Connect = EngineConnectTimeout,
+                               .m_FirstByte = Left,
+                               .m_BetweenBytes = Left};
   auto Opened = co_await m_Process.m_Http.open(
-      m_Process.requestAddress(), engineRequest(), Limits, &m_Opening);
-  if (m_Gone)
+      m_Process.requestAddress(), engineRequest(), Limits, &m_OpenCancel);
+  if (m_CallerGone)
     co_return ForwardEnd::Lost;
   if (!Opened) {
     const bool NeverSent = Opened.error().m_Code == ErrorCode::Unavailable;
@@ -99,24 +100,24 @@
     co_return NeverSent ? ForwardEnd::NeverRan : ForwardEnd::Lost;
   }
   net::HttpStream &Stream = **Opened;
-  m_Open = &Stream;
+  m_Stream = &Stream;
   ForwardEnd End = ForwardEnd::Lost;
   if (Stream.status() == 200)
-    End = co_await passStream(Stream);
+    End = co_await forwardStream(Stream);
   else
-    End = co_await passRefusal(Stream);
-  m_Open = nullptr;
+    End = co_await forwardRefusal(Stream);
+  m_Stream = nullptr;
   co_return End;
 }
 
-/// The engine's refusals that say for certain that the request did not run.
-static bool ranNothing(unsigned Status) {
+/// Tells whether the engine's status proves that the request did not run.
+static bool provesNotRun(unsigned Status) {
   return Status == WeightsConflict || Status == QueueFull ||
          Status == NoWeights;
 }
 
 asio::awaitable<ForwardEnd>
-EngineForward::passRefusal(net::HttpStream &Stream) {
+EngineForward::forwardRefusal(net::HttpStream &Stream) {
   net::HttpResponse Response;
   Response.m_Status = Stream.status();
   while (Response.m_Body.size() < MaxRefusalBytes) {
@@ -126,7 +127,7 @@
     Response.m_Body += *Piece;
   }
   RequestOutcome Outcome = RequestOutcome::Answered;
-  if (ranNothing(Response.m_Status))
+  if (provesNotRun(Response.m_Status))
     Outcome = RequestOutcome::NotRun;
   else if (Response.m_Status >= FirstServerError)
     Outcome = RequestOutcome::Unknown;
@@ -138,7 +139,8 @@
                                                : ForwardEnd::NeverRan;
 }
 
-asio::awaitable<ForwardEnd> EngineForward::passStream(net::HttpStream &Stream) {
+asio::awaitable<ForwardEnd>
+EngineForward::forwardStream(net::HttpStream &Stream) {
   TokenStreamChecker Checker(
       {.m_RequestId = m_Request.m_Id,
        .m_Weights = m_Request.m_Binding.m_Weights,
@@ -151,12 +153,12 @@
   bool Good = co_await m_Answer.begin(200, std::move(Headers));
   while (Good) {
     auto Piece = co_await Stream.read();
-    if (!Piece || m_Gone)
+    if (!Piece || m_CallerGone)
       break;
     if (Piece->empty() && Checker.finished()) {
       co_await m_Answer.write(StreamEnd);
       co_await m_Answer.end();
-      co_return ForwardEnd::Whole;
+      co_return ForwardEnd::Complete;
     }
     const StreamStep Step = Checker.feed(*Piece);
     Good = co_await m_Answer.write(Step.m_Events);
@@ -169,14 +171,14 @@
   m_Answer.abort();
   if (!Checker.finished())
     co_await cancelAtEngine(m_Process, m_Request.m_Id);
-  co_return Checker.finished() ? ForwardEnd::Whole : ForwardEnd::Lost;
+  co_return Checker.finished() ? ForwardEnd::Complete : ForwardEnd::Lost;
 }
 
 void EngineForward::callerGone() {
-  m_Gone = true;
-  m_Opening.cancel();
-  if (m_Open)
-    m_Open->cancel();
+  m_CallerGone = true;
+  m_OpenCancel.cancel();
+  if (m_Stream)
+    m_Stream->cancel();
   asio::co_spawn(m_Process.m_Threads.nextWorker(),
                  cancelAtEngine(m_Process, m_Request.m_Id), asio::detached);
 }
@@ -192,7 +194,7 @@
   copyHeader(Given, Out.m_Headers, header::RequestId);
   copyHeader(Given, Out.m_Headers, header::IdempotencyKey);
   const auto Left = milliseconds(Request.m_TimeLeft);
-  const net::CallLimits Limits{.m_Connect = EngineConnect,
+  const net::CallLimits Limits{.m_Connect = EngineConnectTimeout,
                                .m_FirstByte = Left,
                                .m_BetweenBytes = Left,
                                .m_BodyBytes = MaxServiceAnswerBytes};
--- a/src/daemon/agent-forward.h
+++ b/src/daemon/agent-forward.h
@@ -1,4 +1,4 @@
-// Passes one admitted request from an agent to its engine or service.
+// Forwards an admitted request from an agent to its engine or service.
 #pragma once
 
 #include "daemon/call-headers.h"
@@ -10,7 +10,8 @@
 
 namespace deckpitch::daemon {
 
-/// A request as the agent got it from an entry.
+/// A request that the agent received from an entry, with the binding that the
+/// entry chose for it.
 struct BoundRequest {
   std::string m_Id;
   RequestBinding m_Binding;
@@ -19,15 +20,16 @@
   net::HttpRequest m_Http;
 };
 
-/// What became of a request at the engine or service.
+/// How a request ended at the engine or service.
 enum class ForwardEnd {
-  Whole,
-  NeverRan, ///< it was not reached, or refused the request
-  Lost,
+  Complete,
+  NeverRan, ///< the engine or service was not reached or refused the request
+  Lost,     ///< it may have run, but its answer was lost
 };
 
-/// Streams a chat completion from the engine, letting through only events of
-/// this request and of the bound weights. Breaks the answer otherwise.
+/// Streams a chat completion from the engine to the entry. Aborts the answer at
+/// the first event that belongs to another request or to other weights than the
+/// bound ones.
 class EngineForward {
 public:
   EngineForward(Process &In, BoundRequest Request, net::HttpResponder &Answer);
@@ -36,27 +38,28 @@
   boost::asio::awaitable<ForwardEnd> run();
 
 private:
-  boost::asio::awaitable<ForwardEnd> passStream(net::HttpStream &Stream);
-  boost::asio::awaitable<ForwardEnd> passRefusal(net::HttpStream &Stream);
+  boost::asio::awaitable<ForwardEnd> forwardStream(net::HttpStream &Stream);
+  boost::asio::awaitable<ForwardEnd> forwardRefusal(net::HttpStream &Stream);
   net::HttpRequest engineRequest() const;
   void callerGone();
 
   Process &m_Process;
   BoundRequest m_Request;
   net::HttpResponder &m_Answer;
-  net::HttpStream *m_Open = nullptr;
-  net::CallCancel m_Opening;
-  bool m_Gone = false;
+  net::HttpStream *m_Stream = nullptr;
+  net::CallCancel m_OpenCancel;
+  bool m_CallerGone = false;
 };
 
-/// Calls the plain service and gives its whole answer; errors as HttpClient's.
+/// Calls the plain service and returns its complete answer or the error of
+/// HttpClient.
 boost::asio::awaitable<Outcome<net::HttpResponse>>
 callService(Process &In, const BoundRequest &Request);
 
-/// Ends a request at the engine.
+/// Cancels a request at the engine.
 boost::asio::awaitable<void> cancelAtEngine(Process &In, std::string RequestId);
 
-/// An answer of the agent itself, marked as the request's.
+/// Makes a response of the agent itself that carries the request's id.
 net::HttpResponse agentAnswer(unsigned Status, std::string_view Outcome,
                               std::string_view Reason,
                               const std::string &RequestId);
--- a/src/daemon/agent-requests.cc
+++ b/src/daemon/agent-requests.cc
@@ -14,12 +14,12 @@
 
 namespace {
 
-/// From a claim until its run arrives: a call within a region takes some
-/// milliseconds, on a busy machine some tens.
-constexpr Duration FencePatience = std::chrono::milliseconds(100);
-constexpr Duration FenceStep = std::chrono::milliseconds(2);
+/// How long a fence waits for a claimed run to arrive. A call within a region
+/// takes some milliseconds, and some tens of milliseconds on a busy instance.
+constexpr Duration FenceTimeout = std::chrono::milliseconds(100);
+constexpr Duration FencePollInterval = std::chrono::milliseconds(2);
 
-/// Counts one request in a process-wide number for as long as it lives.
+/// Counts one request in a process-wide counter during its lifetime.
 class CountGuard {
 public:
   explicit CountGuard(std::atomic<std::uint32_t> &Counted)
@@ -64,7 +64,8 @@
   return "unknown";
 }
 
-/// The entries' side of an agent: the gate before its engine or service.
+/// Serves requests from entries and admits them to the agent's engine or
+/// service.
 class AgentRequests final : public Module {
 public:
   explicit AgentRequests(Process &In) : m_Process(In) {}
@@ -82,15 +83,15 @@
                                      net::HttpResponder &Answer);
   asio::awaitable<void> serveKeyed(BoundRequest Request,
                                    net::HttpResponder &Answer);
-  asio::awaitable<void> giveTicket(net::HttpRequest Request,
+  asio::awaitable<void> sendTicket(net::HttpRequest Request,
                                    net::HttpResponder &Answer);
   asio::awaitable<void> fence(net::HttpRequest Request,
                               net::HttpResponder &Answer);
   RunAdmission admit(const KeyedRun &Run);
   void record(const KeyedRun &Run, ForwardEnd End);
-  asio::awaitable<void> awaitRun(const KeyedRun &Run);
+  asio::awaitable<void> awaitArrival(const KeyedRun &Run);
   net::HttpResponse fenceAnswer(const KeyedRun &Run);
-  bool isForThisLife(const net::HttpRequest &Request) const;
+  bool isForThisIncarnation(const net::HttpRequest &Request) const;
   bool isService() const {
     return m_Process.m_Settings.m_Upstream.m_Kind == PoolKind::Service;
   }
@@ -99,7 +100,7 @@
   BoundRequest read(net::HttpRequest Request) const;
 
   Process &m_Process;
-  std::mutex m_RecordsMutex; ///< held for look-ups only
+  std::mutex m_RecordsMutex; ///< held for lookups only
   CallRecords m_Records;
   std::atomic<std::uint64_t> m_Admitted{0};
   std::atomic<std::uint64_t> m_Refused{0};
@@ -113,7 +114,7 @@
     return cancel(std::move(Request), Answer);
   };
   auto Ticket = [this](net::HttpRequest Request, net::HttpResponder &Answer) {
-    return giveTicket(std::move(Request), Answer);
+    return sendTicket(std::move(Request), Answer);
   };
   auto Fence = [this](net::HttpRequest Request, net::HttpResponder &Answer) {
     return fence(std::move(Request), Answer);
@@ -146,9 +147,9 @@
 asio::awaitable<void> AgentRequests::serve(net::HttpRequest Request,
                                            net::HttpResponder &Answer) {
   BoundRequest Bound = read(std::move(Request));
-  // Counted before the check: a change of weights first withdraws readiness
-  // and then waits for the count, so either it sees this request or this
-  // request sees it.
+  // The request is counted before the check: a change of weights first
+  // withdraws readiness and then waits for the count to drop to 0, so either it
+  // waits for this request or this request is refused.
   const CountGuard Counted(m_Process.m_InFlight);
   const auto Refusal =
       refusalOf(Bound.m_Binding, *m_Process.m_Serving.load(),
@@ -212,8 +213,8 @@
   record(Run, End);
 }
 
-/// What became of a keyed run is recorded before it is told, so that whoever
-/// asks after the answer finds it.
+/// Records the outcome of a keyed run before sending it, so that a fence that
+/// follows the answer finds the record.
 asio::awaitable<void> AgentRequests::serveService(const BoundRequest &Request,
                                                   net::HttpResponder &Answer) {
   auto Got = co_await callService(m_Process, Request);
@@ -244,17 +245,18 @@
   co_await Answer.send(std::move(Response));
 }
 
-bool AgentRequests::isForThisLife(const net::HttpRequest &Request) const {
+bool AgentRequests::isForThisIncarnation(
+    const net::HttpRequest &Request) const {
   return numberOf(Request.m_Headers.find(header::Incarnation), 0) ==
          m_Process.m_Incarnation.m_Value;
 }
 
-asio::awaitable<void> AgentRequests::giveTicket(net::HttpRequest Request,
+asio::awaitable<void> AgentRequests::sendTicket(net::HttpRequest Request,
                                                 net::HttpResponder &Answer) {
   net::HttpResponse Response = net::jsonResponse(200, "{}");
   Response.m_Headers.add(header::ClaimTicket,
                          std::to_string(CallRecords::ticketAt(now())));
-  if (!isForThisLife(Request) || m_Process.m_Leaving.load())
+  if (!isForThisIncarnation(Request) || m_Process.m_Leaving.load())
     Response = net::jsonResponse(409, R"({"error":"no tickets here"})");
   co_await Answer.send(std::move(Response));
 }
@@ -274,18 +276,19 @@
   return Response;
 }
 
-/// Gives a run that was claimed and is on its way the time to arrive. Callers
-/// with the same key ask about each other's claims at the moment at which these
-/// are made: fenced at once, each ruled out the run of the one before it, until
-/// all were told that no instance took it (13 of 480 times with 12 callers).
-asio::awaitable<void> AgentRequests::awaitRun(const KeyedRun &Run) {
+/// Waits for a claimed run that is in transit to arrive. Concurrent callers
+/// with the same key fence each other's claims as soon as these are made.
+/// Without the wait, each fence ruled out the run of the claim before it, until
+/// all callers received the answer that no instance took the request (13 of 480
+/// times with 12 callers).
+asio::awaitable<void> AgentRequests::awaitArrival(const KeyedRun &Run) {
   const auto IsAwaited = [&] {
     std::lock_guard Lock(m_RecordsMutex);
     return m_Records.isAwaited(Run);
   };
-  const TimePoint End = now() + FencePatience;
+  const TimePoint End = now() + FenceTimeout;
   while (now() < End && IsAwaited())
-    co_await pauseFor(FenceStep);
+    co_await pauseFor(FencePollInterval);
 }
 
 asio::awaitable<void> AgentRequests::fence(net::HttpRequest Request,
@@ -293,8 +296,8 @@
   const auto Run = keyedRunOf(Request.m_Headers);
   net::HttpResponse Response =
       net::jsonResponse(409, R"({"error":"not this life of the instance"})");
-  if (Run && isForThisLife(Request)) {
-    co_await awaitRun(*Run);
+  if (Run && isForThisIncarnation(Request)) {
+    co_await awaitArrival(*Run);
     Response = fenceAnswer(*Run);
   }
   co_await Answer.send(std::move(Response));
--- a/src/daemon/call-headers.h
+++ b/src/daemon/call-headers.h
@@ -1,4 +1,4 @@
-// Names of the headers that callers, entries and agents exchange.
+// Names of the HTTP headers and paths that callers, entries and agents use.
 #pragma once
 
 #include "daemon/clock.h"
@@ -20,7 +20,7 @@
 inline constexpr char Replayed[] = "X-Replayed";
 inline constexpr char ContentType[] = "Content-Type";
 
-// From entry to agent.
+// Between entry and agent.
 inline constexpr char Pool[] = "X-Pool";
 inline constexpr char Weights[] = "X-Weights";
 inline constexpr char WeightsDigest[] = "X-Weights-Digest";
@@ -35,7 +35,7 @@
 
 namespace deckpitch::daemon::agentpath {
 
-// An agent's own paths on its request port; no service path starts so.
+// The agent's own paths on its request port. No service path starts with them.
 inline constexpr char Ticket[] = "/_agent/ticket";
 inline constexpr char Fence[] = "/_agent/fence";
 
--- a/src/daemon/cancel-request.cc
+++ b/src/daemon/cancel-request.cc
@@ -4,7 +4,7 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds CancelLimit{1'000};
+constexpr std::chrono::milliseconds CancelTimeout{1'000};
 
 } // namespace
 
@@ -13,9 +13,9 @@
   net::HttpRequest Cancel;
   Cancel.m_Method = "DELETE";
   Cancel.m_Target = "/v1/requests/" + RequestId;
-  const net::CallLimits Limits{.m_Connect = CancelLimit,
-                               .m_FirstByte = CancelLimit,
-                               .m_BetweenBytes = CancelLimit};
+  const net::CallLimits Limits{.m_Connect = CancelTimeout,
+                               .m_FirstByte = CancelTimeout,
+                               .m_BetweenBytes = CancelTimeout};
   co_await In.m_Http.call(std::move(Address), std::move(Cancel), Limits);
 }
 
--- a/src/daemon/cancel-request.h
+++ b/src/daemon/cancel-request.h
@@ -1,4 +1,4 @@
-// Tells an agent or engine that nobody waits for a request any more.
+// Cancels a request at an agent or engine whose caller has disconnected.
 #pragma once
 
 #include "daemon/module.h"
@@ -9,7 +9,7 @@
 
 namespace deckpitch::daemon {
 
-/// Asks the process at that address to cancel the request; best effort.
+/// Asks the process at Address to cancel the request. Errors are ignored.
 boost::asio::awaitable<void> cancelRequest(Process &In, std::string Address,
                                            std::string RequestId);
 
