--- a/src/daemon/claim-service.cc
+++ b/src/daemon/claim-service.cc
@@ -11,14 +11,14 @@
 
 constexpr auto UseAwaitable = asio::as_tuple(asio::use_awaitable);
 constexpr char Kind[] = "claims";
-/// The same at all entries: a key's shard follows from it.
-constexpr std::uint32_t Shards = 2;
-/// Appends a second by all entries together.
-constexpr std::uint32_t AppendBudget = 100;
-constexpr std::chrono::milliseconds MaintainPeriod{1'000};
-constexpr std::chrono::milliseconds FollowPause{500};
+/// Must be the same at all entries, since it determines the shard of a key.
+constexpr std::uint32_t ShardCount = 2;
+/// Of all entries together.
+constexpr std::uint32_t MaxAppendsPerSecond = 100;
+constexpr std::chrono::milliseconds MaintainInterval{1'000};
+constexpr std::chrono::milliseconds FollowRetryDelay{500};
 
-std::optional<LoggedBatch> readLogged(const net::PlatformObject &Object) {
+std::optional<LoggedBatch> parseLogged(const net::PlatformObject &Object) {
   const auto Position = parseLogPosition(Object.m_Name);
   const auto Batch = outcomeOf([&] { return parseClaimBatch(Object.m_Json); });
   if (!Position || !Batch)
@@ -30,15 +30,15 @@
 
 ClaimService::Shard::Shard(std::uint32_t Number, const std::string &Owner,
                            asio::io_context &Loop)
-    : m_Number(Number), m_Log(Owner, {}), m_Wake(Loop) {}
+    : m_Number(Number), m_Log(Owner, {}), m_WakeTimer(Loop) {}
 
 ClaimService::ClaimService(Process &In)
     : m_Process(In), m_Platform(In.makePlatform()),
-      m_FollowPause(In.m_Threads.control()),
+      m_FollowTimer(In.m_Threads.control()),
       m_MaintainTimer(In.m_Threads.control()) {
   const std::string Owner = In.m_Settings.m_Instance.m_Text + "-" +
                             std::to_string(In.m_Incarnation.m_Value);
-  for (std::uint32_t I = 0; I < Shards; ++I)
+  for (std::uint32_t I = 0; I < ShardCount; ++I)
     m_Shards.push_back(
         std::make_unique<Shard>(I, Owner, In.m_Threads.control()));
 }
@@ -46,7 +46,7 @@
 void ClaimService::start() {
   asio::io_context &Loop = m_Process.m_Threads.control();
   for (auto &Each : m_Shards)
-    asio::co_spawn(Loop, pump(*Each), asio::detached);
+    asio::co_spawn(Loop, driveLog(*Each), asio::detached);
   asio::co_spawn(Loop, follow(), asio::detached);
   asio::co_spawn(Loop, maintain(), asio::detached);
 }
@@ -54,29 +54,29 @@
 void ClaimService::stop() {
   m_Stopped = true;
   for (auto &Each : m_Shards)
-    Each->m_Wake.cancel();
-  m_FollowPause.cancel();
+    Each->m_WakeTimer.cancel();
+  m_FollowTimer.cancel();
   m_MaintainTimer.cancel();
 }
 
 asio::awaitable<ClaimSettled> ClaimService::claim(Claim Wanted,
                                                   TimePoint GiveUpAt) {
   co_return co_await asio::co_spawn(m_Process.m_Threads.control(),
-                                    claimHere(std::move(Wanted), GiveUpAt),
+                                    claimOnLoop(std::move(Wanted), GiveUpAt),
                                     asio::use_awaitable);
 }
 
-asio::awaitable<ClaimSettled> ClaimService::claimHere(Claim Wanted,
-                                                      TimePoint GiveUpAt) {
-  Shard &Of = *m_Shards[shardOf(Wanted.m_Key, Shards)];
+asio::awaitable<ClaimSettled> ClaimService::claimOnLoop(Claim Wanted,
+                                                        TimePoint GiveUpAt) {
+  Shard &Target = *m_Shards[shardOf(Wanted.m_Key, ShardCount)];
   const ClaimWaiterId Id = m_NextWaiter++;
   auto Self = std::make_shared<Waiter>(m_Process.m_Threads.control());
   Self->m_Settled = {Id, ClaimSettled::Verdict::Refused, Wanted};
   Self->m_Timer.expires_after(GiveUpAt - now());
   m_Waiters.emplace(Id, Self);
-  Of.m_Log.submit(Id, std::move(Wanted), GiveUpAt, now());
-  deliver(Of);
-  Of.m_Wake.cancel();
+  Target.m_Log.submit(Id, std::move(Wanted), GiveUpAt, now());
+  deliver(Target);
+  Target.m_WakeTimer.cancel();
   if (m_Waiters.contains(Id))
     co_await Self->m_Timer.async_wait(UseAwaitable);
   m_Waiters.erase(Id);
@@ -87,21 +87,22 @@
 
 asio::awaitable<std::optional<Claim>> ClaimService::find(std::string Key) {
   co_return co_await asio::co_spawn(m_Process.m_Threads.control(),
-                                    findHere(std::move(Key)),
+                                    findOnLoop(std::move(Key)),
                                     asio::use_awaitable);
 }
 
-asio::awaitable<std::optional<Claim>> ClaimService::findHere(std::string Key) {
-  const Claim *Found = m_Shards[shardOf(Key, Shards)]->m_Log.find(Key);
+asio::awaitable<std::optional<Claim>>
+ClaimService::findOnLoop(std::string Key) {
+  const Claim *Found = m_Shards[shardOf(Key, ShardCount)]->m_Log.find(Key);
   if (!Found)
     co_return std::nullopt;
   co_return *Found;
 }
 
-/// Hands out what the log has settled. One whose waiter has given up is
-/// dropped, so nothing runs under it.
-void ClaimService::deliver(Shard &Of) {
-  for (ClaimSettled &Each : Of.m_Log.takeSettled()) {
+/// Passes settled claims to their waiters. A claim whose waiter has timed out
+/// is dropped, so nothing runs under it.
+void ClaimService::deliver(Shard &Target) {
+  for (ClaimSettled &Each : Target.m_Log.takeSettled()) {
     const auto Found = m_Waiters.find(Each.m_Waiter);
     if (Found == m_Waiters.end())
       continue;
@@ -111,92 +112,92 @@
   }
 }
 
-asio::awaitable<void> ClaimService::pump(Shard &Of) {
+asio::awaitable<void> ClaimService::driveLog(Shard &Target) {
   while (!m_Stopped) {
-    const ClaimAction Action = Of.m_Log.next(now());
-    deliver(Of);
+    const ClaimAction Action = Target.m_Log.next(now());
+    deliver(Target);
     if (const auto *Idle = std::get_if<IdleLog>(&Action)) {
       if (Idle->m_Until)
-        Of.m_Wake.expires_after(*Idle->m_Until - now());
+        Target.m_WakeTimer.expires_after(*Idle->m_Until - now());
       else
-        Of.m_Wake.expires_at(asio::steady_timer::time_point::max());
-      co_await Of.m_Wake.async_wait(UseAwaitable);
+        Target.m_WakeTimer.expires_at(asio::steady_timer::time_point::max());
+      co_await Target.m_WakeTimer.async_wait(UseAwaitable);
     } else if (const auto *List = std::get_if<ListLog>(&Action)) {
-      co_await perform(Of, *List);
+      co_await perform(Target, *List);
     } else if (const auto *Read = std::get_if<ReadLog>(&Action)) {
-      co_await perform(Of, *Read);
+      co_await perform(Target, *Read);
     } else if (const auto *Append = std::get_if<AppendLog>(&Action)) {
-      co_await perform(Of, *Append);
+      co_await perform(Target, *Append);
     } else if (const auto *Delete = std::get_if<DeleteLog>(&Action)) {
-      co_await perform(Of, *Delete);
+      co_await perform(Target, *Delete);
     }
-    deliver(Of);
+    deliver(Target);
   }
 }
 
-asio::awaitable<void> ClaimService::perform(Shard &Of, ListLog) {
+asio::awaitable<void> ClaimService::perform(Shard &Target, ListLog) {
   const auto Got = co_await m_Platform->list(Kind);
   std::vector<LoggedBatch> All;
   bool Good = Got.has_value();
   for (std::size_t I = 0; Good && I < Got->m_Items.size(); ++I) {
     const net::PlatformObject &Object = Got->m_Items[I];
     const auto Position = parseLogPosition(Object.m_Name);
-    if (!Position || Position->m_Shard != Of.m_Number)
+    if (!Position || Position->m_Shard != Target.m_Number)
       continue;
-    auto Read = readLogged(Object);
+    auto Read = parseLogged(Object);
     Good = Read.has_value();
     if (Good)
       All.push_back(std::move(*Read));
   }
   if (Good)
-    Of.m_Log.listed(All, now());
+    Target.m_Log.listed(All, now());
   else
-    Of.m_Log.failed(false, now());
+    Target.m_Log.failed(false, now());
 }
 
-asio::awaitable<void> ClaimService::perform(Shard &Of, ReadLog Action) {
+asio::awaitable<void> ClaimService::perform(Shard &Target, ReadLog Action) {
   const auto Got = co_await m_Platform->get(
-      Kind, formatLogPosition({Of.m_Number, Action.m_Number}));
+      Kind, formatLogPosition({Target.m_Number, Action.m_Number}));
   if (!Got && Got.error().m_Code == ErrorCode::NotFound) {
-    Of.m_Log.read(std::nullopt, now());
+    Target.m_Log.read(std::nullopt, now());
     co_return;
   }
-  const auto Read = Got ? readLogged(*Got) : std::nullopt;
+  const auto Read = Got ? parseLogged(*Got) : std::nullopt;
   if (Read)
-    Of.m_Log.read(Read, now());
+    Target.m_Log.read(Read, now());
   else
-    Of.m_Log.failed(false, now());
+    Target.m_Log.failed(false, now());
 }
 
-asio::awaitable<void> ClaimService::perform(Shard &Of, AppendLog Action) {
+asio::awaitable<void> ClaimService::perform(Shard &Target, AppendLog Action) {
   ++m_Appends;
   const auto Got = co_await m_Platform->create(
-      Kind, formatLogPosition({Of.m_Number, Action.m_Number}),
+      Kind, formatLogPosition({Target.m_Number, Action.m_Number}),
       formatClaimBatch(Action.m_Batch));
   if (Got) {
-    Of.m_Log.appended(*Got, now());
+    Target.m_Log.appended(*Got, now());
   } else if (Got.error().m_Code == ErrorCode::Conflict) {
     ++m_Conflicts;
-    Of.m_Log.conflicted();
+    Target.m_Log.conflicted();
   } else {
-    Of.m_Log.failed(Got.error().m_Code == ErrorCode::Timeout, now());
+    Target.m_Log.failed(Got.error().m_Code == ErrorCode::Timeout, now());
   }
 }
 
-asio::awaitable<void> ClaimService::perform(Shard &Of, DeleteLog Action) {
+asio::awaitable<void> ClaimService::perform(Shard &Target, DeleteLog Action) {
   const auto Got = co_await m_Platform->remove(
-      Kind, formatLogPosition({Of.m_Number, Action.m_Number}),
+      Kind, formatLogPosition({Target.m_Number, Action.m_Number}),
       Action.m_Revision);
   const bool Gone = Got || Got.error().m_Code == ErrorCode::NotFound ||
                     Got.error().m_Code == ErrorCode::Conflict;
   if (Gone)
-    Of.m_Log.removed();
+    Target.m_Log.removed();
   else
-    Of.m_Log.failed(false, now());
+    Target.m_Log.failed(false, now());
 }
 
-/// Learns other entries' claims as they come. Correctness does not rest on
-/// it: it spares the reads that a conflict would cost.
+/// Watches the claims of other entries. Correctness does not depend on this: it
+/// saves the reads that a conflict would cost.
 asio::awaitable<void> ClaimService::follow() {
   bool Listed = false;
   while (!m_Stopped) {
@@ -204,24 +205,24 @@
       const auto Got = co_await m_Platform->list(Kind);
       Listed = Got.has_value();
       if (Listed)
-        m_Followed = Got->m_Revision;
+        m_WatchRevision = Got->m_Revision;
       for (std::size_t I = 0; Listed && I < Got->m_Items.size(); ++I)
         observe(Got->m_Items[I]);
     }
     if (Listed) {
       std::vector<std::string> Kinds{Kind};
       const Error End = co_await m_Platform->watch(
-          std::move(Kinds), m_Followed,
+          std::move(Kinds), m_WatchRevision,
           [this](const net::PlatformEvent &Seen) { return observe(Seen); });
       Listed = End.m_Code != ErrorCode::NotFound;
     }
-    m_FollowPause.expires_after(FollowPause);
-    co_await m_FollowPause.async_wait(UseAwaitable);
+    m_FollowTimer.expires_after(FollowRetryDelay);
+    co_await m_FollowTimer.async_wait(UseAwaitable);
   }
 }
 
 bool ClaimService::observe(const net::PlatformEvent &Seen) {
-  m_Followed = std::max(m_Followed, Seen.m_Object.m_Revision);
+  m_WatchRevision = std::max(m_WatchRevision, Seen.m_Object.m_Revision);
   if (Seen.m_Type == net::PlatformEvent::Type::Put)
     observe(Seen.m_Object);
   const auto Position = parseLogPosition(Seen.m_Object.m_Name);
@@ -233,16 +234,16 @@
 
 void ClaimService::observe(const net::PlatformObject &Object) {
   const auto Position = parseLogPosition(Object.m_Name);
-  const auto Read = readLogged(Object);
+  const auto Read = parseLogged(Object);
   if (!Position || !Read || Position->m_Shard >= m_Shards.size())
     return;
-  Shard &Of = *m_Shards[Position->m_Shard];
-  Of.m_Log.observed(*Read, now());
-  deliver(Of);
+  Shard &Target = *m_Shards[Position->m_Shard];
+  Target.m_Log.observed(*Read, now());
+  deliver(Target);
 }
 
-/// Shares the budget of appends among the entries that are there, and lets
-/// the first of them delete what is old.
+/// Divides MaxAppendsPerSecond among the alive entries, and lets the first of
+/// them delete expired objects.
 asio::awaitable<void> ClaimService::maintain() {
   while (!m_Stopped) {
     const auto View = m_Process.m_Membership.load();
@@ -257,11 +258,11 @@
     }
     for (auto &Each : m_Shards) {
       Each->m_Log.setDeletes(First);
-      Each->m_Log.setLeastInterval(std::chrono::seconds(Shards * Entries) /
-                                   AppendBudget);
-      Each->m_Wake.cancel();
+      Each->m_Log.setLeastInterval(std::chrono::seconds(ShardCount * Entries) /
+                                   MaxAppendsPerSecond);
+      Each->m_WakeTimer.cancel();
     }
-    m_MaintainTimer.expires_after(MaintainPeriod);
+    m_MaintainTimer.expires_after(MaintainInterval);
     co_await m_MaintainTimer.async_wait(UseAwaitable);
   }
 }
