--- a/test/keyed-calls-test.cc
+++ b/test/keyed-calls-test.cc
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Entries and agents in this process, the platform in its own.
+/// Entries and agents run in the test process, the platform in a child process.
 class KeyedCalls : public testing::Test {
 protected:
   void SetUp() override {
@@ -40,7 +40,7 @@
   std::string m_Address;
 };
 
-TEST_F(KeyedCalls, ARepeatOnAnotherEntryGetsTheStoredAnswer) {
+TEST_F(KeyedCalls, RepeatAtAnotherEntryGetsStoredAnswer) {
   RequestPath Path(PoolKind::Service, 2, 2, m_Address);
   const auto First = Path.call(order("a"), 0);
   ASSERT_TRUE(First);
@@ -54,7 +54,7 @@
   EXPECT_EQ(runs(Path), 1);
 }
 
-TEST_F(KeyedCalls, RunsOnceHoweverManyAskAtOnce) {
+TEST_F(KeyedCalls, ConcurrentCallersRunOnce) {
   RequestPath Path(PoolKind::Service, 3, 3, m_Address);
   for (auto &Each : Path.m_Upstreams)
     Each->m_Faults.m_RunMs = 20;
@@ -72,18 +72,18 @@
   EXPECT_GE(Answered, 1);
 }
 
-TEST_F(KeyedCalls, ALostAnswerIsUnknownAndNeverRunAgain) {
+TEST_F(KeyedCalls, LostAnswerIsUnknownAndNotRunAgain) {
   RequestPath Path(PoolKind::Service, 2, 2, m_Address);
   for (auto &Each : Path.m_Upstreams)
-    Each->m_Faults.m_DieAfterRun = true;
+    Each->m_Faults.m_AbortAfterRun = true;
   EXPECT_EQ(outcomeHeader(*Path.call(order("a"), 0)), "unknown");
   for (auto &Each : Path.m_Upstreams)
-    Each->m_Faults.m_DieAfterRun = false;
+    Each->m_Faults.m_AbortAfterRun = false;
   EXPECT_EQ(outcomeHeader(*Path.call(order("a"), 1)), "unknown");
   EXPECT_EQ(runs(Path), 1);
 }
 
-TEST_F(KeyedCalls, IsRefusedWithoutARunWhileThePlatformIsDown) {
+TEST_F(KeyedCalls, RefusedWithoutRunDuringPlatformOutage) {
   RequestPath Path(PoolKind::Service, 1, 1, m_Address);
   ASSERT_EQ(outcomeHeader(*Path.call(order("a"))), "answered");
   ASSERT_TRUE(setFaults(m_Address, R"({"outage":true})"));
@@ -100,7 +100,7 @@
   EXPECT_EQ(runs(Path), 2);
 }
 
-TEST_F(KeyedCalls, AClaimWhoseAnswerWasLostIsReadBack) {
+TEST_F(KeyedCalls, ClaimWithLostAnswerIsReadBack) {
   RequestPath Path(PoolKind::Service, 1, 1, m_Address);
   ASSERT_TRUE(setFaults(m_Address, R"({"loseAnswers":1})"));
   const auto Got = Path.call(order("a"));
@@ -108,7 +108,7 @@
   EXPECT_EQ(runs(Path), 1);
 }
 
-TEST_F(KeyedCalls, GoesElsewhereWhenTheGateRefuses) {
+TEST_F(KeyedCalls, TriesAnotherInstanceWhenAgentRefuses) {
   RequestPath Path(PoolKind::Service, 2, 1, m_Address);
   Path.m_Agents[0]->drain();
   for (int I = 0; I < 6; ++I) {
@@ -119,10 +119,10 @@
   EXPECT_EQ(Path.m_Upstreams[1]->m_Runs, 6);
 }
 
-TEST_F(KeyedCalls, WithoutAKeyItRunsOnceAndIsNeverRetried) {
+TEST_F(KeyedCalls, RunsOnceWithoutRetryIfKeyIsMissing) {
   RequestPath Path(PoolKind::Service, 3, 1, m_Address);
   for (auto &Each : Path.m_Upstreams)
-    Each->m_Faults.m_DieAfterRun = true;
+    Each->m_Faults.m_AbortAfterRun = true;
   net::HttpRequest Request = order("");
   EXPECT_EQ(outcomeHeader(*Path.call(Request)), "unknown");
   EXPECT_EQ(runs(Path), 1);
--- a/test/request-path-fixture.h
+++ b/test/request-path-fixture.h
@@ -1,4 +1,4 @@
-// An entry, agents and fake upstreams in one process, over real sockets.
+// Entries, agents and fake upstreams in one process, connected by real sockets.
 #pragma once
 
 #include "daemon/call-headers.h"
@@ -17,11 +17,12 @@
 
 namespace asio = boost::asio;
 
-/// Runs the modules of one role as the daemon does, without its own process.
+/// Runs the requests module of one role in the test process, as the daemon
+/// does.
 class ModuleHost {
 public:
-  explicit ModuleHost(Settings Value, Incarnation Life = {1})
-      : m_Process(std::move(Value), Life, m_Threads) {
+  explicit ModuleHost(Settings Value, Incarnation HostIncarnation = {1})
+      : m_Process(std::move(Value), HostIncarnation, m_Threads) {
     for (const auto &Each : daemon::detail::registeredModules())
       if (Each.m_Role == m_Process.m_Settings.m_Role &&
           Each.m_Name == "requests")
@@ -93,21 +94,26 @@
   std::unique_ptr<net::HttpServer> m_Server;
 };
 
-/// Switches of a fake upstream; set before requests come.
+/// Faults of a fake upstream.
 struct FakeFaults {
-  std::atomic<int> m_BreakAfterTokens{-1}; ///< breaks once, then heals
-  std::atomic<int> m_MixAfterTokens{-1};
+  /// Aborts one stream at this token, then is reset.
+  std::atomic<int> m_AbortAfterTokens{-1};
+  /// Streams the tokens from this one on with the digest of other weights.
+  std::atomic<int> m_MixWeightsAfterTokens{-1};
   std::atomic<int> m_Status{200};
   std::atomic<bool> m_Hang{false};
-  std::atomic<bool> m_OtherId{false};
-  std::atomic<bool> m_AnswersLate{false}; ///< each gets the one before
-  std::atomic<bool> m_DieAfterRun{false}; ///< plain service: answers nothing
-  std::atomic<int> m_RunMs{0};            ///< plain service: how long it runs
+  std::atomic<bool> m_WrongId{false};
+  /// Answers each request with the answer to the request before it.
+  std::atomic<bool> m_AnswersPreviousRequest{false};
+  /// Plain service: runs the request and aborts the answer.
+  std::atomic<bool> m_AbortAfterRun{false};
+  /// Plain service: duration of a run.
+  std::atomic<int> m_RunMs{0};
   std::atomic<int> m_TokenDelayMs{0};
 };
 
-/// An engine that answers "t0 t1 ..." or, for other paths, a plain service
-/// that counts its runs.
+/// A fake engine that streams the tokens "t0 t1 ..."; for paths other than chat
+/// completions, a plain service that returns the request's body.
 class FakeUpstream {
 public:
   static constexpr int DefaultTokens = 8;
@@ -127,7 +133,7 @@
   }
 
   const std::string &address() const { return m_Address; }
-  /// Before requests come.
+  /// Sets the weights; must be called before any request.
   void serve(std::string Weights) { m_Weights = std::move(Weights); }
   const std::string &weights() const { return m_Weights; }
   std::string digest() const {
@@ -135,7 +141,7 @@
         std::span(reinterpret_cast<const std::uint8_t *>(m_Weights.data()),
                   m_Weights.size())));
   }
-  /// What a whole answer to this user says.
+  /// Returns the content of a complete answer to User.
   std::string content(const std::string &User = "") const {
     std::string Text;
     for (int I = 0; I < m_Tokens; ++I)
@@ -146,30 +152,30 @@
   FakeFaults m_Faults;
   std::atomic<int> m_Runs{0};
   std::atomic<int> m_Cancels{0};
-  std::atomic<int> m_Written{0}; ///< tokens
+  std::atomic<int> m_TokensWritten{0};
 
 private:
   static std::string token(const std::string &User, int Index) {
     return User + "t" + std::to_string(Index) + " ";
   }
 
-  struct Asked {
+  struct Recipient {
     std::string m_Id;
     std::string m_User;
   };
 
-  /// Whom the next answer is for.
-  Asked answered(const net::HttpRequest &Request,
-                 const boost::json::object &Body) {
-    Asked Now{std::string(Request.m_Headers.find(daemon::header::RequestId)),
-              ""};
+  /// Returns the recipient of the next answer, as the faults determine it.
+  Recipient nextRecipient(const net::HttpRequest &Request,
+                          const boost::json::object &Body) {
+    Recipient Now{
+        std::string(Request.m_Headers.find(daemon::header::RequestId)), ""};
     if (const auto *User = Body.if_contains("user"))
       Now.m_User = User->as_string().c_str();
-    if (m_Faults.m_OtherId)
+    if (m_Faults.m_WrongId)
       Now.m_Id = "another";
     std::lock_guard Lock(m_Mutex);
-    if (m_Faults.m_AnswersLate)
-      std::swap(Now, m_Before);
+    if (m_Faults.m_AnswersPreviousRequest)
+      std::swap(Now, m_PreviousRecipient);
     return Now;
   }
 
@@ -199,7 +205,7 @@
                               net::HttpResponder &Answer) {
     if (m_Faults.m_RunMs > 0)
       co_await pause(m_Faults.m_RunMs);
-    if (m_Faults.m_DieAfterRun)
+    if (m_Faults.m_AbortAfterRun)
       Answer.abort();
     else
       co_await Answer.send(net::jsonResponse(200, Request.m_Body));
@@ -220,18 +226,18 @@
     int Tokens = m_Tokens;
     if (Body.contains("max_tokens"))
       Tokens = Body.at("max_tokens").to_number<int>();
-    const Asked For = answered(Request, Body);
+    const Recipient For = nextRecipient(Request, Body);
     co_await Answer.begin(200, {});
     for (; Index < Tokens; ++Index) {
-      if (m_Faults.m_BreakAfterTokens == Index) {
-        m_Faults.m_BreakAfterTokens = -1;
+      if (m_Faults.m_AbortAfterTokens == Index) {
+        m_Faults.m_AbortAfterTokens = -1;
         Answer.abort();
         co_return;
       }
       if (m_Faults.m_TokenDelayMs > 0)
         co_await pause(m_Faults.m_TokenDelayMs);
-      const bool Mixed =
-          m_Faults.m_MixAfterTokens >= 0 && Index >= m_Faults.m_MixAfterTokens;
+      const bool Mixed = m_Faults.m_MixWeightsAfterTokens >= 0 &&
+                         Index >= m_Faults.m_MixWeightsAfterTokens;
       const boost::json::object Event{
           {"id", For.m_Id},
           {"index", Index},
@@ -247,7 +253,7 @@
       const bool Listening = co_await Answer.write(Text);
       if (!Listening)
         co_return;
-      ++m_Written;
+      ++m_TokensWritten;
     }
     co_await Answer.write("data: [DONE]\n\n");
     co_await Answer.end();
@@ -256,14 +262,14 @@
   std::string m_Weights;
   int m_Tokens;
   std::mutex m_Mutex;
-  Asked m_Before; ///< under the mutex
+  Recipient m_PreviousRecipient; ///< guarded by m_Mutex
   net::IoThreads m_Threads{2};
   net::HttpServer m_Server;
   std::string m_Address;
 };
 
-/// One entry in front of agents that serve one engine pool "chat" (model "m")
-/// or one service pool "orders" (path "/orders").
+/// Entries in front of agents that serve the engine pool "chat" (model "m") or
+/// the service pool "orders" (path "/orders").
 class RequestPath {
 public:
   explicit RequestPath(
@@ -295,13 +301,13 @@
     Value.m_DataCentre = {"lahore"};
     Value.m_Upstream.m_Kind = m_Kind;
     Value.m_Upstream.m_Address = Upstream.address();
-    const Incarnation Life{100 + m_Agents.size()};
-    m_Agents.push_back(std::make_unique<ModuleHost>(Value, Life));
+    const Incarnation HostIncarnation{100 + m_Agents.size()};
+    m_Agents.push_back(std::make_unique<ModuleHost>(Value, HostIncarnation));
     auto Serving = std::make_shared<ServingReport>(servingOf(Upstream));
     m_Agents.back()->process().m_Serving.publish(Serving);
   }
 
-  /// The instance's weights change; the entry is not told before publish().
+  /// Changes the weights of an instance; entries learn of it with publish().
   void switchWeights(std::size_t Agent, const std::string &Weights) {
     FakeUpstream &Upstream = *m_Upstreams.at(Agent);
     Upstream.serve(Weights);
@@ -309,7 +315,8 @@
         std::make_shared<ServingReport>(servingOf(Upstream)));
   }
 
-  /// Makes the entry's routes from the agents as they are.
+  /// Publishes the agents' current state and waits until all entries route to
+  /// them.
   void publish() {
     auto Declarations = std::make_shared<DeclarationSet>();
     Pool Declared;
@@ -338,7 +345,7 @@
     }
   }
 
-  /// How many upstreams the entry knows for the pool.
+  /// Returns how many upstreams the entry has for the pool.
   std::size_t routesOf(ModuleHost &Entry) const {
     const auto Dump = Entry.dump();
     const auto &Pools = Dump.at("pools").as_object();
@@ -400,7 +407,7 @@
   return std::string(Response.m_Headers.find(daemon::header::Outcome));
 }
 
-/// The bytes of a streaming chat request, for a raw connection.
+/// Returns the bytes of a chat request, for a raw connection.
 inline std::string rawChat(const std::string &User, int Tokens, bool Stream) {
   const std::string Body = boost::json::serialize(
       boost::json::object{{"model", "chat"},
@@ -413,7 +420,7 @@
          std::to_string(Body.size()) + "\r\n\r\n" + Body;
 }
 
-/// The body of a raw chunked answer, or empty when it is not whole.
+/// Returns the body of a raw chunked answer, or empty if it is incomplete.
 inline std::string bodyOfChunks(const std::string &Answer) {
   std::size_t At = Answer.find("\r\n\r\n");
   if (At == std::string::npos || !Answer.ends_with("\r\n0\r\n\r\n"))
@@ -431,7 +438,7 @@
   }
 }
 
-/// The concatenated content of a stream's events; empty without its end.
+/// Returns the concatenated tokens of a stream, or empty if its end is missing.
 inline std::string contentOfStream(const std::string &Body) {
   if (!Body.ends_with("data: [DONE]\n\n"))
     return {};
--- a/test/request-path-test.cc
+++ b/test/request-path-test.cc
@@ -8,26 +8,26 @@
 
 namespace {
 
-TEST(RequestPath, GivesAWholeAnswerOfTheBoundWeights) {
+TEST(RequestPath, ReturnsCompleteAnswerFromBoundWeights) {
   RequestPath Path(PoolKind::Engine);
-  const auto Whole = Path.chat(false);
-  ASSERT_TRUE(Whole);
-  EXPECT_EQ(Whole->m_Status, 200u) << Whole->m_Body;
-  EXPECT_EQ(outcomeHeader(*Whole), "answered");
-  const auto Body = boost::json::parse(Whole->m_Body);
+  const auto Buffered = Path.chat(false);
+  ASSERT_TRUE(Buffered);
+  EXPECT_EQ(Buffered->m_Status, 200u) << Buffered->m_Body;
+  EXPECT_EQ(outcomeHeader(*Buffered), "answered");
+  const auto Body = boost::json::parse(Buffered->m_Body);
   EXPECT_EQ(Body.at("choices").at(0).at("message").at("content").as_string(),
             Path.m_Upstreams[0]->content());
   EXPECT_EQ(Body.at("weights").as_string(), "m@1");
 }
 
-TEST(RequestPath, StreamsTheSameTokens) {
+TEST(RequestPath, StreamedTokensEqualCompleteAnswer) {
   RequestPath Path(PoolKind::Engine);
   const auto Streamed = Path.chat(true);
   ASSERT_TRUE(Streamed);
   EXPECT_EQ(contentOfStream(Streamed->m_Body), Path.m_Upstreams[0]->content());
 }
 
-TEST(RequestPath, PassesPlainServicesByPathPrefix) {
+TEST(RequestPath, RoutesPlainServicesByPathPrefix) {
   RequestPath Path(PoolKind::Service);
   net::HttpRequest Request;
   Request.m_Method = "POST";
@@ -42,7 +42,7 @@
   EXPECT_EQ(Path.m_Upstreams[0]->m_Runs, 1);
 }
 
-TEST(RequestPath, AddressesNameThisEntryUntilItLeaves) {
+TEST(RequestPath, AddressesListThisEntryUntilItLeaves) {
   RequestPath Path(PoolKind::Engine);
   net::HttpRequest Request;
   Request.m_Target = "/v1/addresses";
@@ -54,7 +54,7 @@
   EXPECT_TRUE(Body.at("entries").as_array().empty());
 }
 
-TEST(RequestPath, ALeavingEntryRefusesWithNotRun) {
+TEST(RequestPath, LeavingEntryRefusesWithNotRun) {
   RequestPath Path(PoolKind::Engine);
   Path.entry().drain();
   const auto Got = Path.chat(false);
@@ -63,7 +63,7 @@
   EXPECT_EQ(Path.m_Upstreams[0]->m_Runs, 0);
 }
 
-TEST(RequestPath, ALeavingEntryStaysWhileAddressAnswersNameIt) {
+TEST(RequestPath, LeavingEntryStaysUntilAddressesExpire) {
   RequestPath Long(PoolKind::Engine, 1, 1, "", std::chrono::hours(1));
   Long.entry().drain();
   EXPECT_FALSE(Long.entry().drained());
@@ -72,7 +72,7 @@
   EXPECT_TRUE(Short.entry().drained());
 }
 
-TEST(RequestPath, AnAgentRefusesWhatItDoesNotServeNow) {
+TEST(RequestPath, AgentRefusesWeightsItDoesNotServe) {
   RequestPath Path(PoolKind::Engine, 2);
   auto Changed = std::make_shared<ServingReport>(
       *Path.m_Agents[0]->process().m_Serving.load());
@@ -84,7 +84,7 @@
   EXPECT_EQ(Path.m_Upstreams[1]->m_Runs, 8);
 }
 
-TEST(RequestPath, TriesAnInstanceAgainThatSwitchedUnderOldRoutes) {
+TEST(RequestPath, RetriesInstanceThatSwitchedWeightsUnderStaleRoutes) {
   RequestPath Path(PoolKind::Engine, 1);
   Path.switchWeights(0, "m@2");
   auto Call = std::async(std::launch::async, [&] { return Path.chat(false); });
@@ -98,9 +98,9 @@
   EXPECT_EQ(boost::json::parse(Got->m_Body).at("weights").as_string(), "m@2");
 }
 
-// What the instance takes at once runs, one waits, and the last is told at
-// once when to come back.
-TEST(RequestPath, RefusesAtOnceWhatTheFullQueueCannotHold) {
+// The instance runs as many requests as it takes at once, the queue holds one,
+// and the next must be refused immediately with a time to retry after.
+TEST(RequestPath, FullQueueRefusesImmediately) {
   constexpr int AtOnce = 16;
   RequestPath Path(PoolKind::Engine, 1, 1, "",
                    RequestSettings().m_AddressLifetime, 1);
@@ -132,13 +132,14 @@
   EXPECT_EQ(Path.m_Upstreams[0]->m_Runs, AtOnce + 1);
 }
 
-// Nothing of the broken stream has reached the caller.
-TEST(RequestPath, StartsOverOnOtherWeightsWhileNothingIsDelivered) {
+// A broken stream of which nothing has reached the caller may restart on other
+// weights.
+TEST(RequestPath, RestartsOnOtherWeightsBeforeDelivery) {
   RequestPath Path(PoolKind::Engine, 2);
   Path.switchWeights(1, "m@2");
   Path.publish();
   for (int I = 0; I < 8; ++I) {
-    Path.m_Upstreams[0]->m_Faults.m_BreakAfterTokens = 3;
+    Path.m_Upstreams[0]->m_Faults.m_AbortAfterTokens = 3;
     const auto Got = Path.chat(false);
     ASSERT_TRUE(Got);
     ASSERT_EQ(outcomeHeader(*Got), "answered") << Got->m_Body;
@@ -149,9 +150,10 @@
   }
 }
 
-/// One upstream runs each request and loses the answer; the other's agent
-/// refuses. Whichever is tried last, a request that ran is not told not-run.
-void expectNotRunOnlyWithoutARun(
+/// One upstream runs each request and loses the answer; the agent of the other
+/// refuses. Whichever is tried last, a request that ran must not be reported as
+/// not-run.
+void expectNotRunOnlyIfNothingRan(
     RequestPath &Path,
     const std::function<Outcome<net::HttpResponse>()> &SendOne) {
   auto Changed = std::make_shared<ServingReport>(
@@ -161,36 +163,36 @@
   int Ran = 0;
   for (int I = 0; I < 8; ++I) {
     const int Before = Path.m_Upstreams[0]->m_Runs;
-    const std::string Told = outcomeHeader(*SendOne());
+    const std::string Reported = outcomeHeader(*SendOne());
     const int Runs = Path.m_Upstreams[0]->m_Runs - Before;
-    EXPECT_EQ(Told, Runs > 0 ? "unknown" : "not-run") << "request " << I;
+    EXPECT_EQ(Reported, Runs > 0 ? "unknown" : "not-run") << "request " << I;
     Ran += Runs;
   }
   EXPECT_GT(Ran, 0);
   EXPECT_EQ(Path.m_Upstreams[1]->m_Runs, 0);
 }
 
-TEST(RequestPath, TellsUnknownWhenAnEarlierAttemptMayHaveRun) {
+TEST(RequestPath, ReportsUnknownIfEarlierAttemptMayHaveRun) {
   RequestPath Path(PoolKind::Engine, 2);
-  Path.m_Upstreams[0]->m_Faults.m_OtherId = true;
-  expectNotRunOnlyWithoutARun(Path, [&] { return Path.chat(false); });
+  Path.m_Upstreams[0]->m_Faults.m_WrongId = true;
+  expectNotRunOnlyIfNothingRan(Path, [&] { return Path.chat(false); });
 }
 
-TEST(RequestPath, TellsUnknownWhenAServiceMayHaveRunTheCall) {
+TEST(RequestPath, ReportsUnknownIfServiceMayHaveRunRequest) {
   RequestPath Path(PoolKind::Service, 2);
-  Path.m_Upstreams[0]->m_Faults.m_DieAfterRun = true;
+  Path.m_Upstreams[0]->m_Faults.m_AbortAfterRun = true;
   net::HttpRequest Request;
   Request.m_Target = "/orders/7";
-  expectNotRunOnlyWithoutARun(Path, [&] { return Path.call(Request); });
+  expectNotRunOnlyIfNothingRan(Path, [&] { return Path.call(Request); });
 }
 
-TEST(RequestPath, ResumesABrokenStreamWithoutDoubledOrMissingTokens) {
+TEST(RequestPath, ResumedStreamHasNoDuplicateOrMissingTokens) {
   for (const int BreakAt : {0, 1, 5, 7}) {
     RequestPath Path(PoolKind::Engine, 2);
     for (auto &Each : Path.m_Upstreams)
-      Each->m_Faults.m_BreakAfterTokens = BreakAt;
-    // One break for each upstream would leave none to resume on.
-    Path.m_Upstreams[1]->m_Faults.m_BreakAfterTokens = -1;
+      Each->m_Faults.m_AbortAfterTokens = BreakAt;
+    // If both upstreams broke, none would be left to resume on.
+    Path.m_Upstreams[1]->m_Faults.m_AbortAfterTokens = -1;
     for (int I = 0; I < 4; ++I)
       EXPECT_EQ(contentOfStream(Path.chat(true)->m_Body),
                 Path.m_Upstreams[0]->content())
@@ -198,11 +200,11 @@
   }
 }
 
-TEST(RequestPath, NeverPassesOnMixedWeights) {
+TEST(RequestPath, NeverForwardsMixedWeights) {
   RequestPath Path(PoolKind::Engine, 1);
-  Path.m_Upstreams[0]->m_Faults.m_MixAfterTokens = 3;
-  const auto Whole = Path.chat(false);
-  EXPECT_EQ(outcomeHeader(*Whole), "unknown");
+  Path.m_Upstreams[0]->m_Faults.m_MixWeightsAfterTokens = 3;
+  const auto Buffered = Path.chat(false);
+  EXPECT_EQ(outcomeHeader(*Buffered), "unknown");
   const auto Streamed = Path.chat(true);
   ASSERT_TRUE(Streamed);
   EXPECT_EQ(contentOfStream(Streamed->m_Body), "");
@@ -211,13 +213,13 @@
             std::string::npos);
 }
 
-TEST(RequestPath, NeverPassesOnAnotherRequestsAnswer) {
+TEST(RequestPath, NeverForwardsAnswerOfAnotherRequest) {
   RequestPath Path(PoolKind::Engine, 1);
-  Path.m_Upstreams[0]->m_Faults.m_OtherId = true;
+  Path.m_Upstreams[0]->m_Faults.m_WrongId = true;
   EXPECT_EQ(outcomeHeader(*Path.chat(false)), "unknown");
 }
 
-TEST(RequestPath, CancelsWhenTheCallerGoesAway) {
+TEST(RequestPath, CancelsWhenCallerDisconnects) {
   RequestPath Path(PoolKind::Engine, 1);
   Path.m_Upstreams[0]->m_Faults.m_TokenDelayMs = 50;
   net::HttpRequest Request;
@@ -237,7 +239,7 @@
       [&] { return Path.m_Agents[0]->process().m_InFlight == 0; });
 }
 
-TEST(RequestPath, ACallerWhoLeavesBeforeTheFirstByteEndsTheAttempt) {
+TEST(RequestPath, CancelsWhenCallerDisconnectsBeforeFirstByte) {
   RequestPath Path(PoolKind::Engine, 1);
   Path.m_Upstreams[0]->m_Faults.m_Hang = true;
   RawConnection Caller(Path.entry().address());
@@ -253,7 +255,7 @@
   EXPECT_EQ(Path.m_Upstreams[0]->m_Runs, 0);
 }
 
-TEST(RequestPath, AHalfClosedCallerGetsItsWholeAnswer) {
+TEST(RequestPath, HalfClosedCallerGetsCompleteAnswer) {
   for (const bool Stream : {false, true}) {
     RequestPath Path(PoolKind::Engine, 1);
     FakeUpstream &Upstream = *Path.m_Upstreams[0];
@@ -272,7 +274,7 @@
   }
 }
 
-TEST(RequestPath, ACallerWhoReadsByteByByteHoldsUpNobody) {
+TEST(RequestPath, SlowReaderDoesNotDelayOtherCallers) {
   RequestPath Path(PoolKind::Engine, 1);
   const FakeUpstream &Upstream = *Path.m_Upstreams[0];
   RawConnection Slow(Path.entry().address(), 2048);
@@ -287,31 +289,36 @@
   EXPECT_EQ(contentOfStream(bodyOfChunks(Read)), Upstream.content("slow "));
 }
 
-// More than all sockets between can hold: only memory could take the rest.
-TEST(RequestPath, ACallerWhoDoesNotReadStopsItsUpstream) {
+// The answer exceeds what all socket buffers on the path can hold, so without
+// back-pressure it would accumulate in memory.
+TEST(RequestPath, BackpressureReachesUpstreamOfStalledReader) {
   constexpr int Tokens = 400'000;
   RequestPath Path(PoolKind::Engine, 1);
   const FakeUpstream &Upstream = *Path.m_Upstreams[0];
   RawConnection Stuck(Path.entry().address(), 2048);
   Stuck.send(rawChat("stuck ", Tokens, true));
-  int OfOthers = 0;
-  const auto Written = [&] { return Upstream.m_Written - OfOthers; };
+  int WrittenForOthers = 0;
+  const auto Written = [&] {
+    return Upstream.m_TokensWritten - WrittenForOthers;
+  };
   int Before = -1;
   while (Written() != Before && Before < Tokens) {
     Before = Written();
-    // A stream that still goes writes meanwhile as these do.
+    // If the stuck stream still made progress, it would write more tokens while
+    // these requests run.
     for (int I = 0; I < 50; ++I) {
       ASSERT_EQ(contentOfStream(Path.chat(true)->m_Body), Upstream.content());
-      OfOthers += FakeUpstream::DefaultTokens;
+      WrittenForOthers += FakeUpstream::DefaultTokens;
     }
   }
   EXPECT_LT(Written(), Tokens);
 }
 
-// On connections that are kept, a late answer meets the next request.
-TEST(RequestPath, ALateAnswerNeverReachesAnotherCaller) {
+// On a reused connection, a late answer could be taken as the answer to the
+// next request.
+TEST(RequestPath, LateAnswerNeverReachesAnotherCaller) {
   RequestPath Path(PoolKind::Engine, 2);
-  Path.m_Upstreams[0]->m_Faults.m_AnswersLate = true;
+  Path.m_Upstreams[0]->m_Faults.m_AnswersPreviousRequest = true;
   for (int I = 0; I < 12; ++I) {
     const std::string User = "user-" + std::to_string(I) + " ";
     net::HttpRequest Request;
@@ -330,7 +337,7 @@
   EXPECT_GT(Path.m_Upstreams[0]->m_Runs, 0);
 }
 
-TEST(RequestPath, RefusesBadInputWithoutTouchingAnUpstream) {
+TEST(RequestPath, RefusesInvalidInputWithoutCallingUpstream) {
   RequestPath Path(PoolKind::Engine, 1);
   const std::vector<std::string> Bodies{"",
                                         "[]",
