--- a/src/daemon/agent-forward.cc
+++ b/src/daemon/agent-forward.cc
@@ -74,11 +74,11 @@
   Out.m_Method = m_Request.m_Http.m_Method;
   Out.m_Target = m_Request.m_Http.m_Target;
   Out.m_Body = m_Request.m_Http.m_Body;
-  const net::HttpHeaders &Given = m_Request.m_Http.m_Headers;
-  copyHeader(Given, Out.m_Headers, header::ContentType);
-  copyHeader(Given, Out.m_Headers, header::RequestId);
-  copyHeader(Given, Out.m_Headers, header::Priority);
-  copyHeader(Given, Out.m_Headers, header::Weights);
+  const net::HttpHeaders &Source = m_Request.m_Http.m_Headers;
+  copyHeader(Source, Out.m_Headers, header::ContentType);
+  copyHeader(Source, Out.m_Headers, header::RequestId);
+  copyHeader(Source, Out.m_Headers, header::Priority);
+  copyHeader(Source, Out.m_Headers, header::Weights);
   return Out;
 }
 
@@ -150,8 +150,8 @@
   Headers.add(header::ContentType, "text/event-stream");
   Headers.add(header::Outcome, std::string(toText(RequestOutcome::Answered)));
   Headers.add(header::RequestId, m_Request.m_Id);
-  bool Good = co_await m_Answer.begin(200, std::move(Headers));
-  while (Good) {
+  bool IsConnected = co_await m_Answer.begin(200, std::move(Headers));
+  while (IsConnected) {
     auto Piece = co_await Stream.read();
     if (!Piece || m_CallerGone)
       break;
@@ -161,7 +161,7 @@
       co_return ForwardEnd::Complete;
     }
     const StreamStep Step = Checker.feed(*Piece);
-    Good = co_await m_Answer.write(Step.m_Events);
+    IsConnected = co_await m_Answer.write(Step.m_Events);
     if (Step.m_Fault != StreamFault::None)
       net::log(Event::UpstreamAnswerRefused,
                {{"request", m_Request.m_Id}, {"fault", toText(Step.m_Fault)}});
@@ -189,10 +189,10 @@
   Out.m_Method = Request.m_Http.m_Method;
   Out.m_Target = Request.m_Http.m_Target;
   Out.m_Body = Request.m_Http.m_Body;
-  const net::HttpHeaders &Given = Request.m_Http.m_Headers;
-  copyHeader(Given, Out.m_Headers, header::ContentType);
-  copyHeader(Given, Out.m_Headers, header::RequestId);
-  copyHeader(Given, Out.m_Headers, header::IdempotencyKey);
+  const net::HttpHeaders &Source = Request.m_Http.m_Headers;
+  copyHeader(Source, Out.m_Headers, header::ContentType);
+  copyHeader(Source, Out.m_Headers, header::RequestId);
+  copyHeader(Source, Out.m_Headers, header::IdempotencyKey);
   const auto Left = milliseconds(Request.m_TimeLeft);
   const net::CallLimits Limits{.m_Connect = EngineConnectTimeout,
                                .m_FirstByte = Left,
--- a/src/daemon/agent-requests.cc
+++ b/src/daemon/agent-requests.cc
@@ -97,7 +97,7 @@
   }
   asio::awaitable<void> cancel(net::HttpRequest Request,
                                net::HttpResponder &Answer);
-  BoundRequest read(net::HttpRequest Request) const;
+  BoundRequest parseRequest(net::HttpRequest Request) const;
 
   Process &m_Process;
   std::mutex m_RecordsMutex; ///< held for lookups only
@@ -125,12 +125,12 @@
           {"POST", agentpath::Fence, Fence}};
 }
 
-BoundRequest AgentRequests::read(net::HttpRequest Request) const {
+BoundRequest AgentRequests::parseRequest(net::HttpRequest Request) const {
   const net::HttpHeaders &Headers = Request.m_Headers;
   const auto Default = m_Process.m_Settings.m_Requests.m_DefaultDeadline;
   const std::uint64_t Left =
       numberOf(Headers.find(header::DeadlineMs), Default.count());
-  BoundRequest Read{
+  BoundRequest Parsed{
       .m_Id = std::string(Headers.find(header::RequestId)),
       .m_Binding = {.m_Pool = {std::string(Headers.find(header::Pool))},
                     .m_Weights = {std::string(Headers.find(header::Weights))},
@@ -140,13 +140,13 @@
                         Headers.find(header::Incarnation), 0)}},
       .m_TimeLeft = std::chrono::milliseconds(Left),
       .m_Keyed = keyedRunOf(Headers)};
-  Read.m_Http = std::move(Request);
-  return Read;
+  Parsed.m_Http = std::move(Request);
+  return Parsed;
 }
 
 asio::awaitable<void> AgentRequests::serve(net::HttpRequest Request,
                                            net::HttpResponder &Answer) {
-  BoundRequest Bound = read(std::move(Request));
+  BoundRequest Bound = parseRequest(std::move(Request));
   // The request is counted before the check: a change of weights first
   // withdraws readiness and then waits for the count to drop to 0, so either it
   // waits for this request or this request is refused.
--- a/src/daemon/claim-service.cc
+++ b/src/daemon/claim-service.cc
@@ -138,18 +138,18 @@
 asio::awaitable<void> ClaimService::perform(Shard &Target, ListLog) {
   const auto Got = co_await m_Platform->list(Kind);
   std::vector<LoggedBatch> All;
-  bool Good = Got.has_value();
-  for (std::size_t I = 0; Good && I < Got->m_Items.size(); ++I) {
+  bool IsValid = Got.has_value();
+  for (std::size_t I = 0; IsValid && I < Got->m_Items.size(); ++I) {
     const net::PlatformObject &Object = Got->m_Items[I];
     const auto Position = parseLogPosition(Object.m_Name);
     if (!Position || Position->m_Shard != Target.m_Number)
       continue;
     auto Read = parseLogged(Object);
-    Good = Read.has_value();
-    if (Good)
+    IsValid = Read.has_value();
+    if (IsValid)
       All.push_back(std::move(*Read));
   }
-  if (Good)
+  if (IsValid)
     Target.m_Log.listed(All, now());
   else
     Target.m_Log.failed(false, now());
@@ -188,9 +188,9 @@
   const auto Got = co_await m_Platform->remove(
       Kind, formatLogPosition({Target.m_Number, Action.m_Number}),
       Action.m_Revision);
-  const bool Gone = Got || Got.error().m_Code == ErrorCode::NotFound ||
-                    Got.error().m_Code == ErrorCode::Conflict;
-  if (Gone)
+  const bool IsGone = Got || Got.error().m_Code == ErrorCode::NotFound ||
+                      Got.error().m_Code == ErrorCode::Conflict;
+  if (IsGone)
     Target.m_Log.removed();
   else
     Target.m_Log.failed(false, now());
--- a/src/daemon/entry-chat.cc
+++ b/src/daemon/entry-chat.cc
@@ -168,11 +168,11 @@
     discardTokens();
     Picked = pick();
   }
-  asio::steady_timer Pause(co_await asio::this_coro::executor);
+  asio::steady_timer PollTimer(co_await asio::this_coro::executor);
   while (!Picked && !m_Hints.m_Refused.empty() && !m_CallerGone &&
          now() < GiveUpAt) {
-    Pause.expires_after(StaleRoutesPollInterval);
-    co_await Pause.async_wait(asio::use_awaitable);
+    PollTimer.expires_after(StaleRoutesPollInterval);
+    co_await PollTimer.async_wait(asio::use_awaitable);
     if (!refreshRoutes())
       break;
     Picked = pick();
@@ -313,10 +313,10 @@
 
 asio::awaitable<RequestOutcome> ChatCall::finish() {
   if (m_Streaming && !m_ForwardedResponse) {
-    bool Good = co_await beginStream();
-    if (Good)
-      Good = co_await m_Answer.write(StreamEnd);
-    if (Good)
+    bool IsConnected = co_await beginStream();
+    if (IsConnected)
+      IsConnected = co_await m_Answer.write(StreamEnd);
+    if (IsConnected)
       co_await m_Answer.end();
     co_return RequestOutcome::Answered;
   }
--- a/src/daemon/entry-context.cc
+++ b/src/daemon/entry-context.cc
@@ -22,13 +22,14 @@
 net::HttpResponse failureResponse(unsigned Status, RequestOutcome Outcome,
                                   const std::string &Reason,
                                   const std::vector<std::string> &Entries) {
-  const std::string Word(toText(Outcome));
-  boost::json::object Body{{"error", {{"message", Reason}, {"type", Word}}},
-                           {"outcome", Word}};
+  const std::string OutcomeText(toText(Outcome));
+  boost::json::object Body{
+      {"error", {{"message", Reason}, {"type", OutcomeText}}},
+      {"outcome", OutcomeText}};
   if (!Entries.empty())
     Body["entries"] = boost::json::value_from(Entries);
   auto Response = net::jsonResponse(Status, boost::json::serialize(Body));
-  Response.m_Headers.add(header::Outcome, Word);
+  Response.m_Headers.add(header::Outcome, OutcomeText);
   return Response;
 }
 
--- a/src/daemon/entry-keyed.cc
+++ b/src/daemon/entry-keyed.cc
@@ -11,7 +11,7 @@
 constexpr int MaxRounds = 4;
 constexpr std::chrono::milliseconds ClaimTimeout{1'000};
 constexpr std::chrono::milliseconds QueryTimeout{500};
-constexpr std::chrono::milliseconds RetryAfter{500};
+constexpr std::chrono::milliseconds KeyedRetryAfter{500};
 constexpr std::chrono::seconds MaxTicketAge{5};
 constexpr net::CallLimits QueryLimits{.m_Connect = QueryTimeout,
                                       .m_FirstByte = QueryTimeout,
@@ -20,7 +20,7 @@
 KeyedResult resultOf(RequestOutcome Outcome, std::string Reason) {
   return {.m_Outcome = Outcome,
           .m_Reason = std::move(Reason),
-          .m_RetryAfter = jittered(RetryAfter)};
+          .m_RetryAfter = jittered(KeyedRetryAfter)};
 }
 
 template <typename Number>
@@ -90,14 +90,14 @@
   for (int Round = 0; Round < MaxRounds; ++Round) {
     if (now() >= m_Call.m_Deadline)
       break;
-    std::optional<KeyedResult> Result = co_await round();
+    std::optional<KeyedResult> Result = co_await tryRound();
     if (Result)
       co_return std::move(*Result);
   }
   co_return resultOf(RequestOutcome::NotRun, "no instance took it in time");
 }
 
-asio::awaitable<std::optional<KeyedResult>> KeyedCall::round() {
+asio::awaitable<std::optional<KeyedResult>> KeyedCall::tryRound() {
   m_Routes = m_Context.m_Routes.routes();
   const auto Pool = m_Routes->m_Table.m_Pools.find(m_Pool);
   const UpstreamRoute *Picked = nullptr;
--- a/src/daemon/entry-keyed.h
+++ b/src/daemon/entry-keyed.h
@@ -38,12 +38,13 @@
 private:
   /// Tries one claim and one attempt; returns nothing if another round may
   /// follow.
-  boost::asio::awaitable<std::optional<KeyedResult>> round();
+  boost::asio::awaitable<std::optional<KeyedResult>> tryRound();
   boost::asio::awaitable<std::optional<KeyedResult>> send(UpstreamRoute To,
                                                           Claim Claimed);
-  /// Asks the instance of an existing claim for the state of its run. Returns
-  /// nothing if that run never started and never will, so that a new attempt
-  /// may be claimed.
+  /// Fences an existing claim at its instance, which rules out a run that has
+  /// not started, and returns what the state of the run means for this call.
+  /// Returns nothing if the run was ruled out, so that a new attempt may be
+  /// claimed.
   boost::asio::awaitable<std::optional<KeyedResult>>
   resolveClaim(Claim Existing);
   /// Returns the instance's ticket, from the cache if it is recent; nothing if
--- a/src/daemon/entry-requests.cc
+++ b/src/daemon/entry-requests.cc
@@ -47,7 +47,7 @@
   /// Reads the request into Call, or returns why it is refused.
   std::optional<NotRun> readCall(net::HttpRequest Request, bool IsChat,
                                  CallerRequest &Call);
-  std::vector<std::string> otherEntries();
+  std::vector<std::string> availableEntries();
   std::string newRequestId();
 
   Process &m_Process;
@@ -93,14 +93,14 @@
 asio::awaitable<void> EntryRequests::addresses(net::HttpResponder &Answer) {
   const auto Lifetime = m_Process.m_Settings.m_Requests.m_AddressLifetime;
   const boost::json::object Body{
-      {"entries", boost::json::value_from(otherEntries())},
+      {"entries", boost::json::value_from(availableEntries())},
       {"validMs", Lifetime.count()}};
   co_await Answer.send(net::jsonResponse(200, boost::json::serialize(Body)));
 }
 
 /// Returns all entries that callers may use, in a different order for each
 /// call to spread the load; includes this entry unless it is leaving.
-std::vector<std::string> EntryRequests::otherEntries() {
+std::vector<std::string> EntryRequests::availableEntries() {
   const auto Routes = m_Context.m_Routes.routes();
   const InstanceId &Self = m_Process.m_Settings.m_Instance;
   std::vector<EntryRoute> Entries;
@@ -144,7 +144,7 @@
   if (m_Process.m_Leaving.load())
     return NotRun{.m_Reason = "this entry is leaving",
                   .m_RetryAfter = LeavingRetryAfter,
-                  .m_Entries = otherEntries()};
+                  .m_Entries = availableEntries()};
   const net::HttpHeaders &Headers = Request.m_Headers;
   const CallHeaders Given{
       Headers.find(header::Organisation), Headers.find(header::DeadlineMs),
--- a/test/request-path-fixture.h
+++ b/test/request-path-fixture.h
@@ -167,16 +167,16 @@
   /// Returns the recipient of the next answer, as the faults determine it.
   Recipient nextRecipient(const net::HttpRequest &Request,
                           const boost::json::object &Body) {
-    Recipient Now{
+    Recipient Current{
         std::string(Request.m_Headers.find(daemon::header::RequestId)), ""};
     if (const auto *User = Body.if_contains("user"))
-      Now.m_User = User->as_string().c_str();
+      Current.m_User = User->as_string().c_str();
     if (m_Faults.m_WrongId)
-      Now.m_Id = "another";
+      Current.m_Id = "another";
     std::lock_guard Lock(m_Mutex);
     if (m_Faults.m_AnswersPreviousRequest)
-      std::swap(Now, m_PreviousRecipient);
-    return Now;
+      std::swap(Current, m_PreviousRecipient);
+    return Current;
   }
 
   asio::awaitable<void> answer(net::HttpRequest Request,
@@ -250,8 +250,8 @@
                 {"delta", {{"content", token(For.m_User, Index)}}}}}}};
       const std::string Text =
           "data: " + boost::json::serialize(Event) + "\n\n";
-      const bool Listening = co_await Answer.write(Text);
-      if (!Listening)
+      const bool IsConnected = co_await Answer.write(Text);
+      if (!IsConnected)
         co_return;
       ++m_TokensWritten;
     }
@@ -374,14 +374,14 @@
     return call(std::move(Request));
   }
 
-  static void waitUntil(const std::function<bool()> &Holds) {
+  static void waitUntil(const std::function<bool()> &Condition) {
     asio::io_context Io;
     asio::steady_timer Timer(Io);
-    for (int I = 0; I < 5'000 && !Holds(); ++I) {
+    for (int I = 0; I < 5'000 && !Condition(); ++I) {
       Timer.expires_after(std::chrono::milliseconds(2));
       Timer.wait();
     }
-    ASSERT_TRUE(Holds());
+    ASSERT_TRUE(Condition());
   }
 
   ServingReport servingOf(const FakeUpstream &Upstream) const {
@@ -408,7 +408,8 @@
 }
 
 /// Returns the bytes of a chat request, for a raw connection.
-inline std::string rawChat(const std::string &User, int Tokens, bool Stream) {
+inline std::string rawChatRequest(const std::string &User, int Tokens,
+                                  bool Stream) {
   const std::string Body = boost::json::serialize(
       boost::json::object{{"model", "chat"},
                           {"stream", Stream},
--- a/test/request-path-test.cc
+++ b/test/request-path-test.cc
@@ -243,7 +243,7 @@
   RequestPath Path(PoolKind::Engine, 1);
   Path.m_Upstreams[0]->m_Faults.m_Hang = true;
   RawConnection Caller(Path.entry().address());
-  Caller.send(rawChat("", 8, true));
+  Caller.send(rawChatRequest("", 8, true));
   RequestPath::waitUntil(
       [&] { return Path.m_Agents[0]->process().m_InFlight == 1; });
   Caller.close();
@@ -261,7 +261,7 @@
     FakeUpstream &Upstream = *Path.m_Upstreams[0];
     Upstream.m_Faults.m_Hang = true;
     RawConnection Caller(Path.entry().address());
-    Caller.send(rawChat("half ", 8, Stream));
+    Caller.send(rawChatRequest("half ", 8, Stream));
     Caller.closeSending();
     EXPECT_NE(Caller.readUntil("HTTP/1.1 100 Continue\r\n\r\n"), "");
     Upstream.m_Faults.m_Hang = false;
@@ -278,7 +278,7 @@
   RequestPath Path(PoolKind::Engine, 1);
   const FakeUpstream &Upstream = *Path.m_Upstreams[0];
   RawConnection Slow(Path.entry().address(), 2048);
-  Slow.send(rawChat("slow ", 8, true));
+  Slow.send(rawChatRequest("slow ", 8, true));
   std::string Read;
   while (!Read.ends_with("\r\n0\r\n\r\n")) {
     ASSERT_TRUE(Slow.readByte(Read)) << Read;
@@ -296,7 +296,7 @@
   RequestPath Path(PoolKind::Engine, 1);
   const FakeUpstream &Upstream = *Path.m_Upstreams[0];
   RawConnection Stuck(Path.entry().address(), 2048);
-  Stuck.send(rawChat("stuck ", Tokens, true));
+  Stuck.send(rawChatRequest("stuck ", Tokens, true));
   int WrittenForOthers = 0;
   const auto Written = [&] {
     return Upstream.m_TokensWritten - WrittenForOthers;
