--- a/src/daemon/clock.h
+++ b/src/daemon/clock.h
@@ -1,4 +1,4 @@
-// The real time that loops hand to decisions.
+// The clocks whose readings event loops pass to the decision logic.
 #pragma once
 
 #include "deckpitch/time.h"
@@ -9,14 +9,16 @@
 
 namespace deckpitch::daemon {
 
-/// The machine's monotonic clock as the decisions' time. Timers of Asio take
-/// spans only: their clock leaves suspensions out.
+/// Returns the time of the instance's monotonic clock, which includes time
+/// spent suspended. Give Asio timers durations, not these time points: their
+/// clock does not include suspended time.
 inline TimePoint now() {
   return TimePoint(net::BootClock::now().time_since_epoch());
 }
 
-/// The time of day, which may be wrong and may jump: for what outlasts this
-/// machine's monotonic clock. Unix milliseconds.
+/// Returns the time of day in Unix milliseconds, which may be wrong and may
+/// jump. Use it only for what has to stay valid across a reboot of the
+/// instance.
 inline std::uint64_t unixMs() {
   const auto SinceEpoch = std::chrono::system_clock::now().time_since_epoch();
   return static_cast<std::uint64_t>(
--- a/src/daemon/main.cc
+++ b/src/daemon/main.cc
@@ -1,4 +1,4 @@
-// deckpitchd: one process of the system; its settings name the role.
+// deckpitchd: the daemon. The settings name the role of the process.
 #include "daemon/module.h"
 #include "deckpitch/direct-settings.h"
 #include "deckpitch/json-reader.h"
@@ -38,7 +38,9 @@
          "\"scheme://address\", the scheme one of " + Known::schemes()});
 }
 
-/// Only this program knows which adapters are built into it.
+/// Checks that every address names an adapter of this build. Only the program
+/// knows which ones are linked into it, so parsing the settings cannot check
+/// it.
 deckpitch::Problems checkAdapters(const deckpitch::Settings &Value) {
   deckpitch::Problems Found;
   using namespace deckpitch::net;
@@ -49,7 +51,7 @@
   return Found;
 }
 
-void printFaults(const std::string &Path, const std::string &Text) {
+void printErrors(const std::string &Path, const std::string &Text) {
   std::istringstream Lines(Text);
   for (std::string Line; std::getline(Lines, Line);)
     std::cerr << Path << ": " << Line << "\n";
@@ -64,30 +66,31 @@
   const auto Parsed =
       deckpitch::outcomeOf([&] { return deckpitch::parseSettings(*Text); });
   if (!Parsed) {
-    printFaults(Path, Parsed.error().m_Message);
+    printErrors(Path, Parsed.error().m_Message);
     return std::nullopt;
   }
   const deckpitch::Problems Found = checkAdapters(*Parsed);
-  printFaults(Path, deckpitch::formatProblems(Found));
+  printErrors(Path, deckpitch::formatProblems(Found));
   if (!Found.m_List.empty())
     return std::nullopt;
   return *Parsed;
 }
 
-/// A process of a fleet whose entries call the instances themselves.
-int runDirectly(const std::string &Path, const std::string &Text,
-                deckpitch::Severity Least) {
+/// Runs a process of a direct deployment, in which entries send requests
+/// straight to the instances.
+int runDirectProcess(const std::string &Path, const std::string &Text,
+                     deckpitch::Severity MinSeverity) {
   const auto Parsed = deckpitch::outcomeOf(
       [&] { return deckpitch::parseDirectSettings(Text); });
   if (!Parsed) {
-    printFaults(Path, Parsed.error().m_Message);
+    printErrors(Path, Parsed.error().m_Message);
     return ExitUsage;
   }
   if (absl::GetFlag(FLAGS_check)) {
     std::cout << Path << ": good\n";
     return 0;
   }
-  deckpitch::net::setUpJsonLog(Parsed->m_Instance.m_Text, Least);
+  deckpitch::net::setUpJsonLog(Parsed->m_Instance.m_Text, MinSeverity);
   return deckpitch::direct::runDirect(*Parsed, Path);
 }
 
@@ -97,15 +100,15 @@
   absl::SetProgramUsageMessage(
       "runs one process of deckpitch\n"
       "  deckpitchd --settings=FILE            runs until a stop signal\n"
-      "  deckpitchd --settings=FILE --check    says whether the file is good\n"
+      "  deckpitchd --settings=FILE --check    checks the settings and exits\n"
       "flags: --settings, --check, --verbose, --version, --help\n"
-      "exit codes: 0 stopped as asked or a good file, 1 could not start,\n"
-      "  2 bad flags or settings");
+      "exit codes: 0 normal stop or valid settings, 1 could not start,\n"
+      "  2 invalid flags or settings");
   absl::FlagsUsageConfig Usage;
   Usage.version_string = [] {
     return std::string("deckpitchd " DECKPITCH_VERSION "\n");
   };
-  // The library's default looks for a file named like the program.
+  // Abseil's default shows only the flags of a file named after the program.
   Usage.contains_help_flags = [](absl::string_view File) {
     return File.find("src/daemon/") != absl::string_view::npos;
   };
@@ -113,15 +116,16 @@
   absl::ParseCommandLine(Argc, Argv);
   const std::string Path = absl::GetFlag(FLAGS_settings);
   if (Path.empty()) {
-    std::cerr << "--settings=FILE is needed\n"
+    std::cerr << "--settings=FILE is required\n"
               << absl::ProgramUsageMessage() << "\n";
     return ExitUsage;
   }
-  const auto Least = absl::GetFlag(FLAGS_verbose) ? deckpitch::Severity::Debug
-                                                  : deckpitch::Severity::Info;
+  const auto MinSeverity = absl::GetFlag(FLAGS_verbose)
+                               ? deckpitch::Severity::Debug
+                               : deckpitch::Severity::Info;
   const std::optional<std::string> Text = deckpitch::net::readTextFile(Path);
   if (Text && deckpitch::areDirectSettings(*Text))
-    return runDirectly(Path, *Text, Least);
+    return runDirectProcess(Path, *Text, MinSeverity);
   const std::optional<deckpitch::Settings> Value = readSettings(Path);
   if (!Value)
     return ExitUsage;
@@ -129,6 +133,6 @@
     std::cout << Path << ": good\n";
     return 0;
   }
-  deckpitch::net::setUpLog(Value->m_Instance.m_Text, Least);
+  deckpitch::net::setUpLog(Value->m_Instance.m_Text, MinSeverity);
   return deckpitch::daemon::runProcess(*Value);
 }
--- a/src/daemon/module.h
+++ b/src/daemon/module.h
@@ -1,4 +1,4 @@
-// The kernel of the daemon: modules that register themselves for a role.
+// The module framework of the daemon: each module registers itself for a role.
 #pragma once
 
 #include "deckpitch/declaration.h"
@@ -22,8 +22,8 @@
 
 namespace deckpitch::daemon {
 
-/// What the modules of one process share. Snapshots have one writer each,
-/// named here; everybody reads.
+/// State that the modules of one process share. Each snapshot is written by one
+/// module, named in its comment, and may be read by all.
 struct Process {
   Process(Settings Value, Incarnation Life, net::IoThreads &Threads)
       : m_Settings(std::move(Value)), m_Incarnation(Life), m_Threads(Threads) {}
@@ -32,14 +32,16 @@
   const Incarnation m_Incarnation;
   net::IoThreads &m_Threads;
   net::HttpClient m_Http;
-  /// Entries only. One for each job that counts its own calls; never null,
-  /// since settings with an unknown scheme are refused before.
+  /// Makes a platform client. Entries only. Modules that count their own calls
+  /// make one of their own. Never null: settings with an unknown scheme are
+  /// rejected at start-up.
   std::unique_ptr<net::Platform> makePlatform() {
     return net::Adapters<net::Platform>::make(m_Http, m_Settings.m_Platform);
   }
   const std::unique_ptr<net::Platform> m_OwnPlatform = makePlatform();
   net::Platform &m_Platform = *m_OwnPlatform;
-  /// Requests to the upstream go over HTTP, whatever adapter its address names.
+  /// Returns the upstream's address without the scheme: requests go over
+  /// HTTP, whichever adapter the scheme names.
   std::string requestAddress() const {
     return net::parsePortAddress(m_Settings.m_Upstream.m_Address).m_Rest;
   }
@@ -47,45 +49,52 @@
   net::ControlBus *m_Bus = nullptr;
 
   SnapshotCell<DeclarationSet> m_Declarations; ///< by the declarations module
-  /// Of the replica of declarations; by the declarations module.
+  /// Digest of the local replica of the declarations; by the declarations
+  /// module.
   std::atomic<std::uint64_t> m_DeclarationsDigest{0};
-  /// Entries: this one follows the platform for all; by declarations.
+  /// Entries: whether this one follows the platform on behalf of all; by the
+  /// declarations module.
   std::atomic<bool> m_FollowsPlatform{false};
-  /// Entries: control addresses that the platform remembers; by declarations.
+  /// Entries: control addresses last stored at the platform; by the
+  /// declarations module.
   SnapshotCell<std::vector<std::string>> m_RememberedAddresses;
   SnapshotCell<MembershipView> m_Membership; ///< by the membership module
   SnapshotCell<ServingReport> m_Serving;     ///< agents: by the weights module
   std::atomic<std::uint32_t> m_InFlight{0};  ///< agents: by the requests module
   std::atomic<std::uint32_t> m_Waiting{0};   ///< agents: by the requests module
-  std::atomic<bool> m_Leaving{false};        ///< set once, when draining begins
-  /// Starts the graceful shutdown, as SIGTERM does; once, from any thread. The
-  /// text says who asked. By the runner.
+  std::atomic<bool> m_Leaving{false}; ///< set once, when the drain begins
+  /// Starts the graceful shutdown, as SIGTERM does. May be called from any
+  /// thread; calls after the first have no effect. The argument is the source
+  /// that is logged. Set by the runner.
   std::function<void(std::string)> m_StartDrain = [](const std::string &) {};
 };
 
-/// A path prefix of one of the process's HTTP ports. Handlers run on workers.
+/// A route by path prefix on one of the process's HTTP ports. Handlers run on
+/// worker threads.
 struct Route {
   std::string m_Method; ///< empty: any
   std::string m_Prefix; ///< the longest matching prefix wins
   net::HttpHandler m_Handler;
 };
 
-/// One job of a process. All calls come on the control loop.
+/// A functional unit of a process. All functions are called on the control
+/// loop.
 class Module {
 public:
   virtual ~Module() = default;
-  /// Routes on the port for callers (entries) or entries (agents).
+  /// Routes on the request port, which callers use on entries and entries use
+  /// on agents.
   virtual std::vector<Route> requestRoutes() { return {}; }
   /// Routes on the operators' port.
   virtual std::vector<Route> operatorRoutes() { return {}; }
   virtual Result<void> start() { return {}; }
   virtual void onMessage(const wire::Envelope &) {}
-  /// The process is leaving: take nothing new, finish what runs.
+  /// Starts the drain: accept no new work and finish what is in progress.
   virtual void beginDrain() {}
   virtual bool drained() const { return true; }
-  /// Ends background work; the loops stop after it.
+  /// Ends background work. The event loops stop afterwards.
   virtual void stop() {}
-  /// The module's state, for the dump.
+  /// Returns the module's state for GET /v1/dump.
   virtual boost::json::object dump() const { return {}; }
 };
 
@@ -105,7 +114,7 @@
 
 } // namespace detail
 
-/// Registers a module for a role by standing at namespace scope:
+/// Registers a module for a role. Define one at namespace scope:
 ///
 ///   const Registration<EntryRequests> Registered("requests", Role::Entry);
 template <ModuleType T> struct Registration {
@@ -116,7 +125,8 @@
   }
 };
 
-/// Assembles and runs one process until it is told to stop.
+/// Assembles one process and runs it until it is stopped. Returns the exit
+/// code.
 int runProcess(Settings Value);
 
 } // namespace deckpitch::daemon
--- a/src/daemon/pause.h
+++ b/src/daemon/pause.h
@@ -1,4 +1,4 @@
-// A wait that blocks no thread.
+// A wait that does not block the thread.
 #pragma once
 
 #include "deckpitch/time.h"
@@ -7,7 +7,7 @@
 
 namespace deckpitch::daemon {
 
-/// Waits on the loop of the calling coroutine.
+/// Suspends the calling coroutine for the given time on its own executor.
 boost::asio::awaitable<void> pauseFor(Duration Length);
 
 } // namespace deckpitch::daemon
--- a/src/daemon/process.cc
+++ b/src/daemon/process.cc
@@ -28,16 +28,17 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds DrainPoll{20};
-constexpr std::size_t ControlBodyBytes = std::size_t{2} * 1024 * 1024;
-constexpr std::size_t OperatorConnections = 256;
+constexpr std::chrono::milliseconds DrainPollInterval{20};
+constexpr std::size_t MaxOperatorBodyBytes = std::size_t{2} * 1024 * 1024;
+constexpr std::size_t MaxOperatorConnections = 256;
 
 struct NamedModule {
   std::string m_Name;
   std::unique_ptr<Module> m_Module;
 };
 
-/// Hands each request to the route with the longest matching prefix.
+/// Dispatches each request to the route with the longest matching prefix.
+/// Answers 405 if only the method does not match, 404 if no prefix does.
 class Router {
 public:
   explicit Router(std::vector<Route> Routes) : m_Routes(std::move(Routes)) {}
@@ -71,7 +72,8 @@
   std::vector<Route> m_Routes;
 };
 
-/// Everything that lives as long as the process runs.
+/// Owns the process's threads, modules, servers and control bus, and runs it
+/// from start-up through the graceful drain to the end.
 class Runner {
 public:
   explicit Runner(Settings Value)
@@ -102,8 +104,9 @@
   }
 
 private:
-  /// Grows at each start as long as the machine's clock does; membership does
-  /// not rest on it alone.
+  /// Returns the time of day in microseconds. It increases from start to start
+  /// unless the instance's clock is set back, so membership does not rely on it
+  /// alone.
   static Incarnation newIncarnation() {
     const auto SinceEpoch = std::chrono::system_clock::now().time_since_epoch();
     return {static_cast<std::uint64_t>(
@@ -117,7 +120,7 @@
         m_Modules.push_back({Each.m_Name, Each.m_Make(m_Process)});
   }
 
-  /// The fault's text, if any.
+  /// Opens all ports. Returns the error text on failure.
   std::optional<std::string> listen() {
     const auto Listening = outcomeOf([this]() -> Result<bool> {
       BOOST_LEAF_CHECK(listenAll());
@@ -130,7 +133,7 @@
   Result<void> listenAll() {
     const Settings &Value = m_Process.m_Settings;
     std::vector<Route> Requests;
-    std::vector<Route> Operator = ownRoutes();
+    std::vector<Route> Operator = builtInRoutes();
     for (NamedModule &Each : m_Modules) {
       for (Route &Added : Each.m_Module->requestRoutes())
         Requests.push_back(std::move(Added));
@@ -142,8 +145,8 @@
     m_Requests = std::make_unique<net::HttpServer>(
         m_Threads, Router(std::move(Requests)), RequestLimits);
     net::HttpLimits OperatorLimits;
-    OperatorLimits.m_BodyBytes = ControlBodyBytes;
-    OperatorLimits.m_Connections = OperatorConnections;
+    OperatorLimits.m_BodyBytes = MaxOperatorBodyBytes;
+    OperatorLimits.m_Connections = MaxOperatorConnections;
     m_Operator = std::make_unique<net::HttpServer>(
         m_Threads, Router(std::move(Operator)), OperatorLimits);
     m_Bus = std::make_unique<net::ControlBus>(
@@ -184,11 +187,12 @@
         return finish();
       }
     }
-    announce();
+    printAddresses();
   }
 
-  /// One line on standard output tells whoever started the process its ports.
-  void announce() {
+  /// Prints the bound addresses as one line of JSON on standard output, for the
+  /// program that started this process.
+  void printAddresses() {
     const Addresses &Bound = m_Process.m_Addresses;
     std::cout << boost::json::serialize(boost::json::object{
                      {"instance", m_Process.m_Settings.m_Instance.m_Text},
@@ -207,7 +211,7 @@
     net::log(Event::ProcessDraining, {{"source", Source}});
     for (NamedModule &Each : m_Modules)
       Each.m_Module->beginDrain();
-    m_DrainEnd = now() + m_Process.m_Settings.m_DrainLimit;
+    m_DrainDeadline = now() + m_Process.m_Settings.m_DrainLimit;
     pollDrain();
   }
 
@@ -215,9 +219,9 @@
     bool Drained = true;
     for (const NamedModule &Each : m_Modules)
       Drained = Drained && Each.m_Module->drained();
-    if (Drained || now() >= m_DrainEnd)
+    if (Drained || now() >= m_DrainDeadline)
       return finish();
-    m_DrainTimer.expires_after(DrainPoll);
+    m_DrainTimer.expires_after(DrainPollInterval);
     m_DrainTimer.async_wait([this](const boost::system::error_code &Ec) {
       if (!Ec)
         pollDrain();
@@ -232,7 +236,7 @@
     m_Done.set_value();
   }
 
-  std::vector<Route> ownRoutes() {
+  std::vector<Route> builtInRoutes() {
     return {{"GET", "/v1/dump",
              [this](net::HttpRequest, net::HttpResponder &Answer) {
                return dump(Answer);
@@ -305,7 +309,7 @@
   std::unique_ptr<net::HttpServer> m_Requests;
   std::unique_ptr<net::HttpServer> m_Operator;
   std::unique_ptr<net::ControlBus> m_Bus;
-  TimePoint m_DrainEnd;
+  TimePoint m_DrainDeadline;
   asio::steady_timer m_DrainTimer{m_Threads.control()};
   std::promise<void> m_Done;
   bool m_Finished = false;
--- a/src/daemon/resources-entry.cc
+++ b/src/daemon/resources-entry.cc
@@ -21,10 +21,10 @@
 
 struct ResourcePath {
   std::string m_Kind;
-  std::string m_Name; ///< empty: the whole kind
+  std::string m_Name; ///< empty: all objects of the kind
 };
 
-std::optional<ResourcePath> readPath(std::string_view Path) {
+std::optional<ResourcePath> parseResourcePath(std::string_view Path) {
   Path.remove_prefix(ResourcesPath.size());
   const std::size_t Slash = Path.find('/');
   ResourcePath Out{std::string(Path.substr(0, Slash)), {}};
@@ -35,8 +35,8 @@
   return Fits ? std::optional(std::move(Out)) : std::nullopt;
 }
 
-/// The revision of an If-Match header: "7" in quotes.
-std::optional<Revision> readMatch(std::string_view Text) {
+/// Parses the revision in an If-Match header, a number in quotes such as "7".
+std::optional<Revision> parseIfMatch(std::string_view Text) {
   if (Text.size() < 3 || Text.front() != '"' || Text.back() != '"')
     return std::nullopt;
   std::uint64_t Number = 0;
@@ -56,7 +56,8 @@
   return json::serialize(json::object{{"revision", At.m_Value}});
 }
 
-/// A stored object without the note, which operators see beside the value.
+/// Converts a stored object to a resource. The change note is moved out of the
+/// value; operators get it as a field of its own.
 Resource resourceOf(const net::PlatformObject &Object) {
   json::error_code Ec;
   json::value Value = json::parse(Object.m_Json, Ec);
@@ -66,7 +67,8 @@
           Ec ? "null" : json::serialize(Value), readChangeNote(Object.m_Json)};
 }
 
-/// The operators' interface: reads from the replica, writes to the platform.
+/// Serves the operators' interface to declarations: reads come from the local
+/// replica, writes go to the platform.
 class EntryResources final : public Module {
 public:
   explicit EntryResources(Process &In) : m_Process(In) {}
@@ -90,7 +92,7 @@
   using Handled = asio::awaitable<void>;
 
   Handled read(net::HttpRequest Request, net::HttpResponder &Answer) {
-    const auto Path = readPath(Request.path());
+    const auto Path = parseResourcePath(Request.path());
     if (!Path) {
       co_await Answer.send(errorResponse(404, "no such kind"));
       co_return;
@@ -124,7 +126,7 @@
   }
 
   Handled put(net::HttpRequest Request, net::HttpResponder &Answer) {
-    const auto Path = readPath(Request.path());
+    const auto Path = parseResourcePath(Request.path());
     if (!Path || Path->m_Name.empty()) {
       co_await Answer.send(errorResponse(404, "no such kind or no name"));
       co_return;
@@ -132,7 +134,7 @@
     WriteRequest Write{Path->m_Kind, Path->m_Name, {}, {}};
     const bool Creates = Request.m_Headers.find("If-None-Match") == "*";
     if (!Creates)
-      Write.m_Expected = readMatch(Request.m_Headers.find("If-Match"));
+      Write.m_Expected = parseIfMatch(Request.m_Headers.find("If-Match"));
     if (!Creates && !Write.m_Expected) {
       co_await Answer.send(errorResponse(
           428, "If-Match: \"<revision>\" or If-None-Match: * is required"));
@@ -145,15 +147,15 @@
           net::jsonResponse(422, problemsJson(*Checked.m_Problems)));
       co_return;
     }
-    const ChangeNote Note = noteOf(Request);
+    const ChangeNote Note = makeChangeNote(Request);
     Write.m_Json = addChangeNote(Checked.m_Json, Note);
     co_await writeAndAnswer(std::move(Write), Creates ? 201 : 200, Note.m_By,
                             Answer);
   }
 
   Handled remove(net::HttpRequest Request, net::HttpResponder &Answer) {
-    const auto Path = readPath(Request.path());
-    const auto Seen = readMatch(Request.m_Headers.find("If-Match"));
+    const auto Path = parseResourcePath(Request.path());
+    const auto Seen = parseIfMatch(Request.m_Headers.find("If-Match"));
     if (!Path || Path->m_Name.empty()) {
       co_await Answer.send(errorResponse(404, "no such kind or no name"));
       co_return;
@@ -164,48 +166,49 @@
       co_return;
     }
     WriteRequest Write{Path->m_Kind, Path->m_Name, *Seen, {}};
-    std::string By = noteOf(Request).m_By;
+    std::string By = makeChangeNote(Request).m_By;
     co_await writeAndAnswer(std::move(Write), 200, std::move(By), Answer);
   }
 
   Handled writeAndAnswer(WriteRequest Write, unsigned Success, std::string By,
                          net::HttpResponder &Answer) {
-    const WriteOutcome Ended =
-        co_await writeResolved(m_Process.m_Platform, Write);
-    switch (Ended.m_Kind) {
+    const WriteOutcome Written =
+        co_await writeWithReadBack(m_Process.m_Platform, Write);
+    switch (Written.m_Kind) {
     case WriteOutcome::Kind::Done:
-      accepted(Write, Ended.m_Revision, By);
+      publishAccepted(Write, Written.m_Revision, By);
       co_await Answer.send(
-          net::jsonResponse(Success, revisionJson(Ended.m_Revision)));
+          net::jsonResponse(Success, revisionJson(Written.m_Revision)));
       break;
     case WriteOutcome::Kind::Conflict:
-      co_await sendConflict(Ended, Answer);
+      co_await sendConflict(Written, Answer);
       break;
     case WriteOutcome::Kind::NotDone:
       co_await Answer.send(
-          errorResponse(503, "not accepted: " + Ended.m_Reason));
+          errorResponse(503, "not accepted: " + Written.m_Reason));
       break;
     case WriteOutcome::Kind::Unknown:
       co_await Answer.send(errorResponse(
-          504, "unknown whether accepted, read it back: " + Ended.m_Reason));
+          504, "unknown whether accepted, read it back: " + Written.m_Reason));
       break;
     }
   }
 
-  static Handled sendConflict(const WriteOutcome &Ended,
+  static Handled sendConflict(const WriteOutcome &Written,
                               net::HttpResponder &Answer) {
-    if (!Ended.m_Current) {
-      co_await Answer.send(errorResponse(404, Ended.m_Reason));
+    if (!Written.m_Current) {
+      co_await Answer.send(errorResponse(404, Written.m_Reason));
       co_return;
     }
     co_await Answer.send(net::jsonResponse(
-        409, json::serialize(toJson(resourceOf(*Ended.m_Current)))));
+        409, json::serialize(toJson(resourceOf(*Written.m_Current)))));
   }
 
-  /// Spreads the accepted version without waiting for the watch: the process
-  /// sends it to its own replica like any other update, which promises nothing
-  /// about other changes.
-  void accepted(const WriteRequest &Write, Revision At, const std::string &By) {
+  /// Distributes the accepted version without waiting for the platform's watch:
+  /// the process sends it to its own replica as an ordinary update, which
+  /// implies nothing about other changes.
+  void publishAccepted(const WriteRequest &Write, Revision At,
+                       const std::string &By) {
     net::log(Event::DeclarationAccepted, {{"kind", Write.m_Kind},
                                           {"name", Write.m_Name},
                                           {"by", By},
@@ -223,7 +226,7 @@
     m_Process.m_Bus->send(m_Process.m_Addresses.m_Control, std::move(Message));
   }
 
-  ChangeNote noteOf(const net::HttpRequest &Request) {
+  ChangeNote makeChangeNote(const net::HttpRequest &Request) {
     std::string By(Request.m_Headers.find("X-Operator"));
     By.resize(std::min(By.size(), MaxOperatorNameBytes));
     const auto SinceEpoch = std::chrono::system_clock::now().time_since_epoch();
--- a/src/daemon/resources-json.h
+++ b/src/daemon/resources-json.h
@@ -1,4 +1,5 @@
-// Declared objects, members and pool status as the JSON that operators see.
+// JSON of declared objects, members and pool status for the operators'
+// interface.
 #pragma once
 
 #include "deckpitch/declaration.h"
@@ -25,13 +26,13 @@
   friend bool operator==(const Resource &, const Resource &) = default;
 };
 
-/// How many instances serve a pool's declared weights.
+/// Counts of the instances that serve a pool's declared weights.
 struct PoolStatus {
   PoolId m_Pool;
   std::uint32_t m_Ready = 0;
   std::uint32_t m_Wanted = 0;
-  std::uint32_t m_InForce = 0; ///< instances that apply the pool's revision
-  std::uint32_t m_Members = 0; ///< agents that are not gone, of all pools
+  std::uint32_t m_InForce = 0; ///< agents that have applied the pool's revision
+  std::uint32_t m_Members = 0; ///< agents of all pools that are not gone
   std::vector<DataCentreReadiness> m_ReadyIn;
 
   friend bool operator==(const PoolStatus &, const PoolStatus &) = default;
@@ -47,17 +48,18 @@
 boost::json::object toJson(const Member &Value);
 boost::json::object toJson(const Declared<Pool> &Value,
                            const PoolStatus &Status);
-/// The answer of GET /v1/status.
+/// Returns the body of GET /v1/status.
 boost::json::object statusJson(const InstanceId &Self,
                                const DeclarationSet &Set,
                                const MembershipView &View);
 
-/// Parses the operators' input strictly and gives its canonical form, or the
-/// problems.
+/// The canonical JSON of an operator's input, or the problems found in it.
 struct CheckedInput {
   std::string m_Json;
   std::optional<Problems> m_Problems;
 };
+/// Parses an operator's input. Unknown keys are problems, and so is a name that
+/// differs from the one in the path.
 CheckedInput checkInput(const std::string &Kind, const std::string &Name,
                         const std::string &Body);
 std::string problemsJson(const Problems &Found);
--- a/src/daemon/resources-watch.cc
+++ b/src/daemon/resources-watch.cc
@@ -15,20 +15,21 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds LookEvery{50};
-constexpr int LooksPerBookmark = 200;
+constexpr std::chrono::milliseconds PollInterval{50};
+constexpr int PollsPerBookmark = 200;
 
-/// Turns successive snapshots into the lines that tell them apart.
+/// Compares successive snapshots and formats the changes, one event per line.
 class ChangeLines {
 public:
-  /// Declarations up to Since, and the members as they are, count as told.
+  /// Declarations up to Since, all of them if it is empty, and the current
+  /// members and pool status count as already reported.
   ChangeLines(const DeclarationSet &Set, const MembershipView &View,
               std::optional<Revision> Since) {
     for (const Resource &Each : allResources(Set))
       if (!Since || Each.m_Revision <= *Since)
         m_Resources.emplace(keyOf(Each), Each.m_Revision);
     for (const auto &[Id, Each] : View.m_Members)
-      m_Members.emplace(Id, told(Each));
+      m_Members.emplace(Id, withoutVolatileFields(Each));
     for (const auto &[Id, Each] : Set.m_Pools)
       m_Status.emplace(Id, statusOf(Each, View));
   }
@@ -49,8 +50,9 @@
   };
 
   static Key keyOf(const Resource &Of) { return {Of.m_Kind, Of.m_Name}; }
-  /// Load changes all the time and is no news to an operator.
-  static Member told(Member Value) {
+  /// Clears the load, which changes all the time, and the source of the state:
+  /// neither is worth an event of its own.
+  static Member withoutVolatileFields(Member Value) {
     Value.m_Load = {};
     Value.m_Source = {};
     return Value;
@@ -81,7 +83,7 @@
 
   void addMembers(const MembershipView &View, std::string &Out) {
     for (const auto &[Id, Each] : View.m_Members) {
-      const Member Now = told(Each);
+      const Member Now = withoutVolatileFields(Each);
       const auto [Known, Added] = m_Members.try_emplace(Id, Now);
       if (!Added && Known->second == Now)
         continue;
@@ -114,7 +116,7 @@
   std::map<PoolId, PoolStatus> m_Status;
 };
 
-std::optional<Revision> sinceOf(const net::HttpRequest &Request) {
+std::optional<Revision> parseSince(const net::HttpRequest &Request) {
   const std::string Text = Request.query("since");
   std::uint64_t Number = 0;
   std::from_chars(Text.data(), Text.data() + Text.size(), Number);
@@ -135,20 +137,20 @@
                                     net::HttpResponder &Answer) {
   SnapshotReader<DeclarationSet> Declarations(In.m_Declarations);
   SnapshotReader<MembershipView> Members(In.m_Membership);
-  ChangeLines Changes(*Declarations.get(), *Members.get(), sinceOf(Request));
+  ChangeLines Changes(*Declarations.get(), *Members.get(), parseSince(Request));
   net::HttpHeaders Headers;
   Headers.add("Content-Type", "application/x-ndjson");
   bool Open = co_await Answer.begin(200, std::move(Headers));
   if (Open)
     Open = co_await Answer.write(bookmark(*Declarations.get()));
   asio::steady_timer Timer(co_await asio::this_coro::executor);
-  for (int Looks = 1; Open && !In.m_Leaving.load(); ++Looks) {
+  for (int Polls = 1; Open && !In.m_Leaving.load(); ++Polls) {
     std::string Lines = Changes.next(*Declarations.get(), *Members.get());
-    if (Lines.empty() && Looks % LooksPerBookmark == 0)
+    if (Lines.empty() && Polls % PollsPerBookmark == 0)
       Lines = bookmark(*Declarations.get());
     if (!Lines.empty())
       Open = co_await Answer.write(Lines);
-    Timer.expires_after(LookEvery);
+    Timer.expires_after(PollInterval);
     co_await Timer.async_wait(asio::as_tuple(asio::use_awaitable));
   }
   if (Open)
--- a/src/daemon/resources-watch.h
+++ b/src/daemon/resources-watch.h
@@ -1,4 +1,4 @@
-// Streams declarations and status to an operator as they change.
+// Streams changes of declarations, members and pool status to an operator.
 #pragma once
 
 #include "daemon/module.h"
@@ -7,8 +7,8 @@
 
 namespace deckpitch::daemon {
 
-/// Answers GET /v1/watch?since=R with one JSON event a line until the client
-/// goes or the process leaves.
+/// Answers GET /v1/watch?since=R with one JSON event per line until the client
+/// disconnects or the process drains.
 boost::asio::awaitable<void> streamChanges(const Process &In,
                                            net::HttpRequest Request,
                                            net::HttpResponder &Answer);
--- a/src/daemon/resources-write.cc
+++ b/src/daemon/resources-write.cc
@@ -9,14 +9,15 @@
 
 namespace {
 
-constexpr int MostAttempts = 4;
-constexpr std::chrono::milliseconds PauseBeforeReadBack{100};
+constexpr int MaxAttempts = 4;
+constexpr std::chrono::milliseconds ReadBackDelay{100};
 
 using Kind = WriteOutcome::Kind;
 
 asio::awaitable<Outcome<Revision>> writeOnce(net::Platform &At,
                                              const WriteRequest &Request) {
-  // Named objects: GCC 12 destroys temporaries of a co_await twice.
+  // Arguments are named objects because GCC 12 destroys temporaries in a
+  // co_await expression twice.
   std::string Kind = Request.m_Kind;
   std::string Name = Request.m_Name;
   if (!Request.m_Json) {
@@ -32,7 +33,7 @@
   co_return co_await At.update(std::move(Object));
 }
 
-/// Compares values, whatever the order of keys the platform gives them in.
+/// Compares JSON values regardless of key order, which the platform may change.
 bool sameJson(const std::string &A, const std::string &B) {
   boost::json::error_code Ec;
   const boost::json::value Left = boost::json::parse(A, Ec);
@@ -42,9 +43,11 @@
   return !Ec && Left == Right;
 }
 
-/// What the object read back says of the write, if it says anything.
-std::optional<WriteOutcome> judge(const WriteRequest &Request,
-                                  const Outcome<net::PlatformObject> &Read) {
+/// Determines the outcome of a write from the object read back. Returns nullopt
+/// if the read shows no outcome, so the write may be repeated.
+std::optional<WriteOutcome>
+outcomeOfReadBack(const WriteRequest &Request,
+                  const Outcome<net::PlatformObject> &Read) {
   if (!Read) {
     const bool Absent = Read.error().m_Code == ErrorCode::NotFound;
     if (Absent && !Request.m_Json)
@@ -56,18 +59,18 @@
   if (Request.m_Json && sameJson(Read->m_Json, *Request.m_Json))
     return WriteOutcome{Kind::Done, Read->m_Revision, {}, {}};
   if (Request.m_Expected && Read->m_Revision <= *Request.m_Expected)
-    return std::nullopt; // as it was, or a stale read
+    return std::nullopt; // unchanged, or a stale read
   return WriteOutcome{Kind::Conflict, {}, *Read, "the object has changed"};
 }
 
 } // namespace
 
-asio::awaitable<WriteOutcome> writeResolved(net::Platform &At,
-                                            WriteRequest Request) {
-  asio::steady_timer Pause(co_await asio::this_coro::executor);
+asio::awaitable<WriteOutcome> writeWithReadBack(net::Platform &At,
+                                                WriteRequest Request) {
+  asio::steady_timer Timer(co_await asio::this_coro::executor);
   bool MayHaveWritten = false;
   std::string Reason;
-  for (int Attempt = 0; Attempt < MostAttempts; ++Attempt) {
+  for (int Attempt = 0; Attempt < MaxAttempts; ++Attempt) {
     const auto Wrote = co_await writeOnce(At, Request);
     if (Wrote)
       co_return WriteOutcome{Kind::Done, *Wrote, {}, {}};
@@ -79,15 +82,15 @@
       co_return WriteOutcome{Kind::NotDone, {}, {}, Reason};
     MayHaveWritten = MayHaveWritten || Code == ErrorCode::Timeout;
     if (Code == ErrorCode::Timeout) {
-      Pause.expires_after(PauseBeforeReadBack);
-      co_await Pause.async_wait(asio::as_tuple(asio::use_awaitable));
+      Timer.expires_after(ReadBackDelay);
+      co_await Timer.async_wait(asio::as_tuple(asio::use_awaitable));
     }
     const auto Read = co_await At.get(Request.m_Kind, Request.m_Name);
-    const std::optional<WriteOutcome> Known = judge(Request, Read);
+    const std::optional<WriteOutcome> Known = outcomeOfReadBack(Request, Read);
     if (Known)
       co_return *Known;
-    const bool CannotAsk = !Read && Read.error().m_Code != ErrorCode::NotFound;
-    if (CannotAsk)
+    const bool ReadFailed = !Read && Read.error().m_Code != ErrorCode::NotFound;
+    if (ReadFailed)
       Reason = Read.error().m_Message;
   }
   co_return WriteOutcome{
--- a/src/daemon/resources-write.h
+++ b/src/daemon/resources-write.h
@@ -1,4 +1,5 @@
-// A conditional write whose outcome is known, even when its answer was lost.
+// Conditional writes to the platform whose outcome is determined even if the
+// response is lost.
 #pragma once
 
 #include "net/platform.h"
@@ -11,13 +12,13 @@
 
 namespace deckpitch::daemon {
 
-/// What became of a write.
+/// The outcome of a write.
 struct WriteOutcome {
   enum class Kind {
-    Done,     ///< took effect: m_Revision
-    Conflict, ///< did not; m_Current is what stands there now, if anything
-    NotDone,  ///< did not, and may be tried again
-    Unknown,  ///< may have taken effect: the platform cannot be asked
+    Done,     ///< took effect at m_Revision
+    Conflict, ///< had no effect; m_Current is the current object, if any
+    NotDone,  ///< had no effect and may be retried
+    Unknown,  ///< may have taken effect; reading the object back failed
   };
   Kind m_Kind = Kind::Unknown;
   Revision m_Revision;
@@ -25,11 +26,7 @@
   std::string m_Reason;
 };
 
-/// Creates (no revision), replaces or deletes (no JSON) one object. A write
-/// without an answer is resolved by reading the object back and comparing its
-/// value, which therefore must name the write. Only when the read shows the
-/// object as it was is the same conditional write sent again; its precondition
-/// lets at most one of the two take effect.
+/// A write of one object: create (no revision), replace, or delete (no JSON).
 struct WriteRequest {
   std::string m_Kind;
   std::string m_Name;
@@ -37,7 +34,11 @@
   std::optional<std::string> m_Json;  ///< none: deletes
 };
 
-boost::asio::awaitable<WriteOutcome> writeResolved(net::Platform &At,
-                                                   WriteRequest Request);
+/// Writes one object. If the response is lost, reads the object back and
+/// compares its value, which therefore must contain a unique identifier of the
+/// write. The same conditional write is repeated only if the object is
+/// unchanged; the precondition lets at most one of the two take effect.
+boost::asio::awaitable<WriteOutcome> writeWithReadBack(net::Platform &At,
+                                                       WriteRequest Request);
 
 } // namespace deckpitch::daemon
--- a/src/daemon/status-writer.cc
+++ b/src/daemon/status-writer.cc
@@ -13,10 +13,10 @@
 namespace {
 
 constexpr const char *StatusKind = "status";
-/// Not a name that a pool can have.
+/// Not a valid pool name, so it cannot collide with a pool's status.
 constexpr const char *MembersName = "~members";
-/// Changes within this time are written as one.
-constexpr std::chrono::seconds WriteEvery{5};
+/// Changes within this interval are combined into one write.
+constexpr std::chrono::seconds WriteInterval{5};
 
 std::string membersJson(const MembershipView &View) {
   json::array Addresses;
@@ -44,8 +44,8 @@
 
 } // namespace
 
-StatusWriter::StatusWriter(Process &In, const LeaseKeeper &Holder)
-    : m_Process(In), m_Holder(Holder), m_Timer(In.m_Threads.control()) {}
+StatusWriter::StatusWriter(Process &In, const LeaseKeeper &Lease)
+    : m_Process(In), m_Lease(Lease), m_Timer(In.m_Threads.control()) {}
 
 void StatusWriter::start() {
   asio::co_spawn(m_Process.m_Threads.control(), run(), asio::detached);
@@ -59,9 +59,9 @@
 asio::awaitable<void> StatusWriter::run() {
   co_await readMembers();
   while (!m_Stopping) {
-    m_Timer.expires_after(WriteEvery);
+    m_Timer.expires_after(WriteInterval);
     co_await m_Timer.async_wait(asio::as_tuple(asio::use_awaitable));
-    if (!m_Stopping && m_Holder.held())
+    if (!m_Stopping && m_Lease.held())
       co_await writeAll();
     else
       m_Written.clear();
@@ -88,30 +88,30 @@
 asio::awaitable<void> StatusWriter::writeOne(std::string Name,
                                              std::string Json) {
   Written &Of = m_Written[Name];
-  if (m_Stopping || !m_Holder.held() || (Of.m_Known && Of.m_Json == Json))
+  if (m_Stopping || !m_Lease.held() || (Of.m_IsKnown && Of.m_Json == Json))
     co_return;
-  if (!Of.m_Known) {
+  if (!Of.m_IsKnown) {
     const auto Got = co_await m_Process.m_Platform.get(StatusKind, Name);
     if (!Got && Got.error().m_Code != ErrorCode::NotFound)
       co_return;
-    Of.m_Known = true;
-    Of.m_At = Got ? Got->m_Revision : Revision();
+    Of.m_IsKnown = true;
+    Of.m_KnownRevision = Got ? Got->m_Revision : Revision();
     Of.m_Json = Got ? Got->m_Json : std::string();
     if (Of.m_Json == Json)
       co_return;
   }
   Outcome<Revision> Wrote = Revision();
-  if (Of.m_At.m_Value == 0)
+  if (Of.m_KnownRevision.m_Value == 0)
     Wrote = co_await m_Process.m_Platform.create(StatusKind, Name, Json);
   else {
-    net::PlatformObject Object{StatusKind, Name, Of.m_At, Json};
+    net::PlatformObject Object{StatusKind, Name, Of.m_KnownRevision, Json};
     Wrote = co_await m_Process.m_Platform.update(std::move(Object));
   }
   ++m_Writes;
-  Of.m_Known = Wrote.has_value();
+  Of.m_IsKnown = Wrote.has_value();
   if (!Wrote)
     co_return;
-  Of.m_At = *Wrote;
+  Of.m_KnownRevision = *Wrote;
   Of.m_Json = std::move(Json);
 }
 
--- a/src/daemon/status-writer.h
+++ b/src/daemon/status-writer.h
@@ -1,4 +1,4 @@
-// Keeps the platform's status objects: aggregated, and written only on change.
+// Keeps the status objects at the platform up to date.
 #pragma once
 
 #include "daemon/lease-keeper.h"
@@ -12,12 +12,14 @@
 
 namespace deckpitch::daemon {
 
-/// Runs on the control loop of each entry; writes while this entry holds the
-/// lease. One object for each pool, and one with the members' control
-/// addresses, by which a wholly replaced set of entries finds the others.
+/// Writes one aggregated status object per pool, and one with the members'
+/// control addresses, by which entries find the other processes even after
+/// every entry was replaced. Objects are written only when they change, and
+/// only while this entry holds the lease. Runs on the control loop of each
+/// entry.
 class StatusWriter {
 public:
-  StatusWriter(Process &In, const LeaseKeeper &Holder);
+  StatusWriter(Process &In, const LeaseKeeper &Lease);
 
   void start();
   void stop();
@@ -25,9 +27,9 @@
 
 private:
   struct Written {
-    Revision m_At;
+    Revision m_KnownRevision;
     std::string m_Json;
-    bool m_Known = false; ///< m_At is what the platform had last
+    bool m_IsKnown = false; ///< whether the platform has this version
   };
 
   boost::asio::awaitable<void> run();
@@ -36,7 +38,7 @@
   boost::asio::awaitable<void> writeOne(std::string Name, std::string Json);
 
   Process &m_Process;
-  const LeaseKeeper &m_Holder;
+  const LeaseKeeper &m_Lease;
   boost::asio::steady_timer m_Timer;
   std::map<std::string, Written> m_Written;
   std::uint64_t m_Writes = 0;
