--- a/src/ctl/commands.cc
+++ b/src/ctl/commands.cc
@@ -17,8 +17,9 @@
 
 namespace asio = boost::asio;
 
-/// A watch is quiet between events; the entry sends bookmarks in between.
-constexpr std::chrono::minutes WatchSilence{10};
+/// Maximum time without data on a watch. Entries send bookmarks while there are
+/// no events, so a longer silence means that the connection is dead.
+constexpr std::chrono::minutes WatchIdleTimeout{10};
 
 struct Context {
   const Options &m_Options;
@@ -27,21 +28,21 @@
   Caller m_Call;
 
   bool isJson() const { return m_Options.m_Output == OutputForm::Json; }
-  const std::string &word(std::size_t Index) const {
-    return m_Options.m_Words.at(Index);
+  const std::string &positional(std::size_t Index) const {
+    return m_Options.m_Positional.at(Index);
   }
 };
 
-/// One "path: line" for each line of the message.
-void reportFile(std::ostream &Err, const std::string &Path,
-                const std::string &Message) {
+/// Prints each line of the message as "path: line".
+void reportFileErrors(std::ostream &Err, const std::string &Path,
+                      const std::string &Message) {
   std::istringstream Lines(Message);
   for (std::string Line; std::getline(Lines, Line);)
     Err << Path << ": " << Line << "\n";
 }
 
-ExitCode report(const Context &With, const Error &Fault) {
-  With.m_Err << Fault.m_Message << "\n";
+ExitCode report(const Context &Ctx, const Error &Fault) {
+  Ctx.m_Err << Fault.m_Message << "\n";
   switch (Fault.m_Code) {
   case ErrorCode::Unavailable:
   case ErrorCode::Timeout:
@@ -53,12 +54,12 @@
   }
 }
 
-Outcome<boost::json::value> callForJson(const Context &With, std::string Method,
+Outcome<boost::json::value> callForJson(const Context &Ctx, std::string Method,
                                         std::string Target) {
   net::HttpRequest Request;
   Request.m_Method = std::move(Method);
   Request.m_Target = std::move(Target);
-  const auto Answer = With.m_Call(std::move(Request));
+  const auto Answer = Ctx.m_Call(std::move(Request));
   if (!Answer)
     return Answer.error();
   if (Answer->m_Status >= 300)
@@ -75,7 +76,7 @@
   case ApplyResult::Created:
   case ApplyResult::Updated:
   case ApplyResult::Unchanged:
-    return ExitCode::Good;
+    return ExitCode::Success;
   case ApplyResult::Conflict:
     return ExitCode::Conflict;
   case ApplyResult::Refused:
@@ -87,115 +88,116 @@
   return ExitCode::Refused;
 }
 
-ExitCode applyAll(const Context &With, const std::vector<Resource> &List) {
+ExitCode applyAll(const Context &Ctx, const std::vector<Resource> &List) {
   for (std::size_t I = 0; I < List.size(); ++I) {
     const ApplyReport Report =
-        applyResource(With.m_Call, List[I], With.m_Options.m_Revision);
-    if (With.isJson())
-      With.m_Out << boost::json::serialize(toJson(List[I], Report)) << "\n";
+        applyResource(Ctx.m_Call, List[I], Ctx.m_Options.m_Revision);
+    if (Ctx.isJson())
+      Ctx.m_Out << boost::json::serialize(toJson(List[I], Report)) << "\n";
     else
-      With.m_Out << describe(List[I], Report);
+      Ctx.m_Out << describe(List[I], Report);
     const ExitCode Code = exitCodeOf(Report.m_Result);
-    if (Code == ExitCode::Good)
+    if (Code == ExitCode::Success)
       continue;
     for (std::size_t Left = I + 1; Left < List.size(); ++Left)
-      With.m_Err << List[Left].m_Kind << "/" << List[Left].m_Name
-                 << ": not tried\n";
+      Ctx.m_Err << List[Left].m_Kind << "/" << List[Left].m_Name
+                << ": not tried\n";
     return Code;
   }
-  return ExitCode::Good;
+  return ExitCode::Success;
 }
 
-ExitCode apply(const Context &With) {
-  const std::string &Path = With.m_Options.m_File;
+ExitCode apply(const Context &Ctx) {
+  const std::string &Path = Ctx.m_Options.m_File;
   if (Path.empty()) {
-    With.m_Err << "apply needs --file=FILE\n";
+    Ctx.m_Err << "apply needs --file=FILE\n";
     return ExitCode::Usage;
   }
   const auto Text = net::readTextFile(Path);
   if (!Text) {
-    With.m_Err << Path << ": cannot be read\n";
+    Ctx.m_Err << Path << ": cannot be read\n";
     return ExitCode::Refused;
   }
   const auto List = outcomeOf([&] { return parseResources(*Text); });
   if (!List) {
-    reportFile(With.m_Err, Path, List.error().m_Message);
+    reportFileErrors(Ctx.m_Err, Path, List.error().m_Message);
     return ExitCode::Refused;
   }
-  if (With.m_Options.m_Revision && List->size() != 1) {
-    With.m_Err << "--revision fits a file with one object only\n";
+  if (Ctx.m_Options.m_Revision && List->size() != 1) {
+    Ctx.m_Err
+        << "--revision is allowed only for a file with exactly one object\n";
     return ExitCode::Usage;
   }
-  return applyAll(With, *List);
+  return applyAll(Ctx, *List);
 }
 
-ExitCode get(const Context &With) {
-  std::string Target = "/v1/resources/" + With.word(1);
-  const bool IsOne = With.m_Options.m_Words.size() > 2;
+ExitCode get(const Context &Ctx) {
+  std::string Target = "/v1/resources/" + Ctx.positional(1);
+  const bool IsOne = Ctx.m_Options.m_Positional.size() > 2;
   if (IsOne)
-    Target += "/" + With.word(2);
-  const auto Value = callForJson(With, "GET", Target);
+    Target += "/" + Ctx.positional(2);
+  const auto Value = callForJson(Ctx, "GET", Target);
   if (!Value)
-    return report(With, Value.error());
-  if (With.isJson())
-    With.m_Out << boost::json::serialize(*Value) << "\n";
+    return report(Ctx, Value.error());
+  if (Ctx.isJson())
+    Ctx.m_Out << boost::json::serialize(*Value) << "\n";
   else if (IsOne)
-    With.m_Out << prettyJson(*Value) << "\n";
+    Ctx.m_Out << prettyJson(*Value) << "\n";
   else
-    With.m_Out << describeList(*Value);
-  return ExitCode::Good;
+    Ctx.m_Out << describeList(*Value);
+  return ExitCode::Success;
 }
 
-ExitCode status(const Context &With) {
-  const auto Value = callForJson(With, "GET", "/v1/status");
+ExitCode status(const Context &Ctx) {
+  const auto Value = callForJson(Ctx, "GET", "/v1/status");
   if (!Value)
-    return report(With, Value.error());
-  if (With.isJson())
-    With.m_Out << boost::json::serialize(*Value) << "\n";
+    return report(Ctx, Value.error());
+  if (Ctx.isJson())
+    Ctx.m_Out << boost::json::serialize(*Value) << "\n";
   else
-    With.m_Out << describeStatus(*Value);
-  return ExitCode::Good;
+    Ctx.m_Out << describeStatus(*Value);
+  return ExitCode::Success;
 }
 
-ExitCode callAndPrint(const Context &With, std::string Method,
+ExitCode callAndPrint(const Context &Ctx, std::string Method,
                       std::string Target) {
-  const auto Value = callForJson(With, std::move(Method), std::move(Target));
+  const auto Value = callForJson(Ctx, std::move(Method), std::move(Target));
   if (!Value)
-    return report(With, Value.error());
-  With.m_Out << (With.isJson() ? boost::json::serialize(*Value)
-                               : prettyJson(*Value))
-             << "\n";
-  return ExitCode::Good;
+    return report(Ctx, Value.error());
+  Ctx.m_Out << (Ctx.isJson() ? boost::json::serialize(*Value)
+                             : prettyJson(*Value))
+            << "\n";
+  return ExitCode::Success;
 }
 
-ExitCode dump(const Context &With) {
-  return callAndPrint(With, "GET", "/v1/dump");
+ExitCode dump(const Context &Ctx) {
+  return callAndPrint(Ctx, "GET", "/v1/dump");
 }
 
-ExitCode drain(const Context &With) {
-  return callAndPrint(With, "POST", "/v1/drain");
+ExitCode drain(const Context &Ctx) {
+  return callAndPrint(Ctx, "POST", "/v1/drain");
 }
 
-void printEvent(const Context &With, const std::string &Line) {
+void printEvent(const Context &Ctx, const std::string &Line) {
   if (Line.empty())
     return;
-  if (With.isJson()) {
-    With.m_Out << Line << std::endl;
+  if (Ctx.isJson()) {
+    Ctx.m_Out << Line << std::endl;
     return;
   }
   boost::json::error_code Ec;
   const auto Event = boost::json::parse(Line, Ec);
-  With.m_Out << (Ec ? Line + "\n" : describeEvent(Event)) << std::flush;
+  Ctx.m_Out << (Ec ? Line + "\n" : describeEvent(Event)) << std::flush;
 }
 
-/// Prints events until the entry ends the answer; tells why it ended.
-asio::awaitable<Error> followEvents(const Context &With, std::string Entry) {
+/// Prints events until the stream ends. Returns the reason why it ended.
+asio::awaitable<Error> followEvents(const Context &Ctx, std::string Entry) {
   net::HttpClient Client;
   net::HttpRequest Request;
-  Request.m_Target = "/v1/watch?since=" +
-                     std::to_string(With.m_Options.m_Revision.value_or(0));
+  Request.m_Target =
+      "/v1/watch?since=" + std::to_string(Ctx.m_Options.m_Revision.value_or(0));
   net::CallLimits Limits;
-  Limits.m_BetweenBytes = WatchSilence;
+  Limits.m_BetweenBytes = WatchIdleTimeout;
   auto Opened = co_await Client.open(Entry, std::move(Request), Limits);
   if (!Opened)
     co_return Opened.error();
@@ -214,46 +216,46 @@
     Pending += *Piece;
     for (std::size_t End = Pending.find('\n'); End != std::string::npos;
          End = Pending.find('\n')) {
-      printEvent(With, Pending.substr(0, End));
+      printEvent(Ctx, Pending.substr(0, End));
       Pending.erase(0, End + 1);
     }
   }
 }
 
-ExitCode watch(const Context &With) {
+ExitCode watch(const Context &Ctx) {
   Error Last{ErrorCode::Unavailable, "no entry was given"};
-  for (const std::string &Entry : With.m_Options.m_Entries) {
+  for (const std::string &Entry : Ctx.m_Options.m_Entries) {
     asio::io_context Io;
-    asio::co_spawn(Io, followEvents(With, Entry),
+    asio::co_spawn(Io, followEvents(Ctx, Entry),
                    [&Last](std::exception_ptr, Error Why) { Last = Why; });
     Io.run();
     const bool Answered = Last.m_Code != ErrorCode::Unavailable;
     if (Answered)
       break;
   }
-  return report(With, Last);
+  return report(Ctx, Last);
 }
 
-ExitCode checkSettings(const Context &With) {
-  const std::string &Path = With.word(1);
+ExitCode checkSettings(const Context &Ctx) {
+  const std::string &Path = Ctx.positional(1);
   const auto Text = net::readTextFile(Path);
   if (!Text) {
-    With.m_Err << Path << ": cannot be read\n";
+    Ctx.m_Err << Path << ": cannot be read\n";
     return ExitCode::Refused;
   }
   const auto Parsed = outcomeOf([&] { return parseSettings(*Text); });
   if (!Parsed) {
-    reportFile(With.m_Err, Path, Parsed.error().m_Message);
+    reportFileErrors(Ctx.m_Err, Path, Parsed.error().m_Message);
     return ExitCode::Refused;
   }
-  With.m_Out << Path << ": good\n";
-  return ExitCode::Good;
+  Ctx.m_Out << Path << ": good\n";
+  return ExitCode::Success;
 }
 
 struct Command {
   std::string_view m_Name;
-  std::size_t m_LeastWords; ///< arguments after the name
-  std::size_t m_MostWords;
+  std::size_t m_MinArguments; ///< arguments after the name
+  std::size_t m_MaxArguments;
   bool m_NeedsEntry;
   ExitCode (*m_Run)(const Context &);
   std::string_view m_Usage;
@@ -282,20 +284,20 @@
 
 ExitCode runCommand(const Options &Given, std::ostream &Out,
                     std::ostream &Err) {
-  if (Given.m_Words.empty())
+  if (Given.m_Positional.empty())
     return usage(Err);
-  const std::size_t Arguments = Given.m_Words.size() - 1;
+  const std::size_t Arguments = Given.m_Positional.size() - 1;
   for (const Command &Each : Commands) {
-    if (Each.m_Name != Given.m_Words.front())
+    if (Each.m_Name != Given.m_Positional.front())
       continue;
-    if (Arguments < Each.m_LeastWords || Arguments > Each.m_MostWords)
+    if (Arguments < Each.m_MinArguments || Arguments > Each.m_MaxArguments)
       return usage(Err);
     if (Each.m_NeedsEntry && Given.m_Entries.empty()) {
       Err << Each.m_Name << " needs --entry=IP:PORT\n";
       return ExitCode::Usage;
     }
     return Each.m_Run(
-        {Given, Out, Err, callEntries(Given.m_Entries, Given.m_Operator)});
+        {Given, Out, Err, makeEntryCaller(Given.m_Entries, Given.m_Operator)});
   }
   return usage(Err);
 }
--- a/src/ctl/main.cc
+++ b/src/ctl/main.cc
@@ -39,7 +39,7 @@
 
 Options readOptions(const std::vector<char *> &Positional) {
   Options Out;
-  Out.m_Words.assign(Positional.begin() + 1, Positional.end());
+  Out.m_Positional.assign(Positional.begin() + 1, Positional.end());
   Out.m_Entries = splitAtCommas(absl::GetFlag(FLAGS_entry));
   Out.m_File = absl::GetFlag(FLAGS_file);
   if (Out.m_File.empty())
@@ -64,13 +64,13 @@
       "  apply --file=FILE [--revision=R]\n  get KIND [NAME]\n  status\n"
       "  watch [--revision=R]\n  dump\n  drain\n  check-settings FILE\n"
       "example: deckpitchctl --entry=10.0.0.1:7701 apply --file=pools.json\n"
-      "exit codes: 0 good, 1 refused, 2 bad command line, 3 no answer,\n"
+      "exit codes: 0 success, 1 refused, 2 invalid command line, 3 no answer,\n"
       "  4 another write came first");
   absl::FlagsUsageConfig Usage;
   Usage.version_string = [] {
     return std::string("deckpitchctl " DECKPITCH_VERSION "\n");
   };
-  // The library's default looks for a file named like the program.
+  // Abseil's default shows only the flags of a file named after the program.
   Usage.contains_help_flags = [](absl::string_view File) {
     return File.find("src/ctl/") != absl::string_view::npos;
   };
--- a/src/ctl/operator-client.cc
+++ b/src/ctl/operator-client.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr int WriteAttempts = 3;
+constexpr int MaxWriteAttempts = 3;
 
 std::string pathOf(const std::string &Kind, const std::string &Name) {
   return "/v1/resources/" + Kind + "/" + Name;
@@ -25,12 +25,12 @@
   return Request;
 }
 
-bool isSame(const Resource &Left, const Resource &Right) {
+bool isEquivalent(const Resource &Left, const Resource &Right) {
   return normalised(Left.m_Kind, Left.m_Value) ==
          normalised(Right.m_Kind, Right.m_Value);
 }
 
-std::uint64_t revisionIn(const std::string &Json) {
+std::uint64_t parseRevision(const std::string &Json) {
   boost::json::error_code Ec;
   const auto Value = boost::json::parse(Json, Ec);
   const auto *Object = Ec ? nullptr : Value.if_object();
@@ -38,10 +38,11 @@
   return Found ? Found->to_number<std::uint64_t>(Ec) : 0;
 }
 
-/// One apply: the object as first read, and what became of the write.
-class Apply {
+/// One apply operation. m_Base is the object as first read, on which the write
+/// is conditional.
+class ApplyOperation {
 public:
-  Apply(const Caller &Call, const Resource &Wanted)
+  ApplyOperation(const Caller &Call, const Resource &Wanted)
       : m_Call(Call), m_Wanted(Wanted) {}
 
   ApplyReport run(std::optional<std::uint64_t> Expected) {
@@ -53,7 +54,7 @@
         return {ApplyResult::Unavailable, 0, Read.error().m_Message, {}};
       if (Read)
         m_Base = *Read;
-      if (Read && isSame(*Read, m_Wanted))
+      if (Read && isEquivalent(*Read, m_Wanted))
         return {ApplyResult::Unchanged, Read->m_Revision, "", {}};
     }
     return write();
@@ -62,13 +63,13 @@
 private:
   ApplyReport write() {
     std::string Last;
-    for (int Attempt = 0; Attempt < WriteAttempts; ++Attempt) {
+    for (int Attempt = 0; Attempt < MaxWriteAttempts; ++Attempt) {
       const auto Answer = m_Call(writeRequest(m_Wanted, m_Base.m_Revision));
       if (!Answer && Answer.error().m_Code == ErrorCode::Unavailable &&
           Attempt == 0)
         return {ApplyResult::Unavailable, 0, Answer.error().m_Message, {}};
       if (Answer && Answer->m_Status < 500)
-        return settled(*Answer);
+        return reportOfAnswer(*Answer);
       Last = Answer ? errorOf(*Answer).m_Message : Answer.error().m_Message;
       if (const auto Report = readBack())
         return *Report;
@@ -76,11 +77,11 @@
     return {ApplyResult::Unknown, 0, Last, {}};
   }
 
-  ApplyReport settled(const net::HttpResponse &Answer) {
+  ApplyReport reportOfAnswer(const net::HttpResponse &Answer) {
     const bool IsNew = m_Base.m_Revision == 0;
     if (Answer.m_Status < 300)
       return {IsNew ? ApplyResult::Created : ApplyResult::Updated,
-              revisionIn(Answer.m_Body),
+              parseRevision(Answer.m_Body),
               "",
               {}};
     if (Answer.m_Status != 409)
@@ -93,10 +94,11 @@
         outcomeOf([&] { return parseReceived(Answer.m_Body); });
     if (!Current)
       return {ApplyResult::Conflict, 0, Current.error().m_Message, {}};
-    return moved(*Current);
+    return reportOfChange(*Current);
   }
 
-  /// Nothing while the object is as it was before the write.
+  /// Reads the object after a lost answer. Returns nullopt if it is unchanged,
+  /// so the write may be repeated.
   std::optional<ApplyReport> readBack() {
     const auto Read = readResource(m_Call, m_Wanted.m_Kind, m_Wanted.m_Name);
     const bool Gone = !Read && Read.error().m_Code == ErrorCode::NotFound;
@@ -109,13 +111,14 @@
       return ApplyReport{ApplyResult::Unknown, 0, Read.error().m_Message, {}};
     if (Read->m_Revision <= m_Base.m_Revision)
       return std::nullopt;
-    return moved(*Read);
+    return reportOfChange(*Read);
   }
 
-  /// The object moved on: to what was wanted, or to something else.
-  ApplyReport moved(const Resource &Current) {
+  /// Reports on an object whose revision changed: success if it has the wanted
+  /// value, a conflict otherwise.
+  ApplyReport reportOfChange(const Resource &Current) {
     const bool IsNew = m_Base.m_Revision == 0;
-    if (isSame(Current, m_Wanted))
+    if (isEquivalent(Current, m_Wanted))
       return {IsNew ? ApplyResult::Created : ApplyResult::Updated,
               Current.m_Revision,
               "",
@@ -157,7 +160,7 @@
 
 } // namespace
 
-Caller callEntries(std::vector<std::string> Entries, std::string Operator) {
+Caller makeEntryCaller(std::vector<std::string> Entries, std::string Operator) {
   return [Entries = std::move(Entries),
           Operator = std::move(Operator)](net::HttpRequest Request) {
     if (!Operator.empty())
@@ -207,7 +210,7 @@
 
 ApplyReport applyResource(const Caller &Call, const Resource &Wanted,
                           std::optional<std::uint64_t> Expected) {
-  return Apply(Call, Wanted).run(Expected);
+  return ApplyOperation(Call, Wanted).run(Expected);
 }
 
 } // namespace deckpitch::ctl
--- a/src/ctl/operator-client.h
+++ b/src/ctl/operator-client.h
@@ -1,4 +1,4 @@
-// Speaks the operators' interface (docs/INTERFACES.md).
+// A client of the operators' interface (docs/INTERFACES.md).
 #pragma once
 
 #include "ctl/resource.h"
@@ -12,35 +12,37 @@
 
 namespace deckpitch::ctl {
 
-/// Makes one call; Unavailable: not done, Timeout: may have been done.
+/// Sends one request. Unavailable means that it had no effect, Timeout that it
+/// may have had one.
 using Caller = std::function<Outcome<net::HttpResponse>(net::HttpRequest)>;
 
-/// Calls the first of the entries that can be reached, in the operator's name.
-Caller callEntries(std::vector<std::string> Entries, std::string Operator);
+/// Returns a Caller that sends each request to the first reachable entry, with
+/// the operator's name attached.
+Caller makeEntryCaller(std::vector<std::string> Entries, std::string Operator);
 
 enum class ApplyResult {
   Created,
   Updated,
   Unchanged,
-  Conflict,    ///< another write came first: nothing was changed
-  Refused,     ///< the object has faults: nothing was changed
+  Conflict,    ///< another write came first; nothing was changed
+  Refused,     ///< the object is invalid; nothing was changed
   Unavailable, ///< nothing was changed
-  Unknown,     ///< no answer, and reading back failed as well
+  Unknown,     ///< no answer, and reading the object back failed too
 };
 
 struct ApplyReport {
   ApplyResult m_Result = ApplyResult::Unknown;
-  std::uint64_t m_Revision = 0; ///< in force; 0: not known
-  std::string m_Message;        ///< what an error says
+  std::uint64_t m_Revision = 0; ///< the revision in force; 0: unknown
+  std::string m_Message;        ///< the error, if any
   std::vector<Difference> m_Differences;
 
   friend bool operator==(const ApplyReport &, const ApplyReport &) = default;
 };
 
-/// Writes the object if nobody changed it since it was read, or since the
-/// expected revision (0: it must not exist). A lost answer is resolved by
-/// reading back; the conditional write is repeated only while the revision
-/// has not moved.
+/// Writes the object unless it was changed since it was read, or since the
+/// expected revision (0: it must not exist). If the answer is lost, reads the
+/// object back; the conditional write is repeated only while the revision is
+/// unchanged.
 ApplyReport applyResource(const Caller &Call, const Resource &Wanted,
                           std::optional<std::uint64_t> Expected);
 
@@ -48,7 +50,7 @@
 Outcome<Resource> readResource(const Caller &Call, const std::string &Kind,
                                const std::string &Name);
 
-/// Turns an answer that is not 2xx into an error with the sender's text.
+/// Converts an answer that is not 2xx to an error with the text of its body.
 Error errorOf(const net::HttpResponse &Answer);
 
 } // namespace deckpitch::ctl
--- a/src/ctl/render.cc
+++ b/src/ctl/render.cc
@@ -12,7 +12,8 @@
     "created", "updated",     "unchanged", "conflict",
     "refused", "unavailable", "unknown"};
 
-/// The field as text, strings without quotes; "-" when it is not there.
+/// Returns the field as text, strings without quotes; "-" if it is absent, null
+/// or empty.
 std::string textOf(const boost::json::value &Value, std::string_view Field) {
   const auto *Object = Value.if_object();
   const auto *Found = Object ? Object->if_contains(Field) : nullptr;
@@ -57,7 +58,7 @@
   Out += boost::json::serialize(Value);
 }
 
-std::string orNothing(const std::string &Json) {
+std::string valueOrNothing(const std::string &Json) {
   return Json.empty() ? "nothing" : Json;
 }
 
@@ -65,8 +66,8 @@
   std::string Line = "  " + Value.m_Field + ": ";
   if (!Value.m_Base.empty())
     Line += "was " + Value.m_Base + ", ";
-  return Line + "is now " + orNothing(Value.m_Current) + ", asked for " +
-         orNothing(Value.m_Wanted) + "\n";
+  return Line + "is now " + valueOrNothing(Value.m_Current) + ", asked for " +
+         valueOrNothing(Value.m_Wanted) + "\n";
 }
 
 std::string describePool(const boost::json::value &Pool) {
@@ -86,15 +87,15 @@
 }
 
 std::string describeMember(const boost::json::value &Member) {
-  const std::string Copied = textOf(Member, "chunksTotal");
+  const std::string ChunksTotal = textOf(Member, "chunksTotal");
   std::string Text =
       textOf(Member, "role") + " " + textOf(Member, "instance") + ": " +
       textOf(Member, "state") + ", " + textOf(Member, "dataCentre") +
       ", in force " + textOf(Member, "inForce") + ", pool " +
       textOf(Member, "pool") + ", weights " + textOf(Member, "weights") + ", " +
       textOf(Member, "condition");
-  if (Copied != "-" && Copied != "0")
-    Text += ", chunks " + textOf(Member, "chunksHeld") + " of " + Copied;
+  if (ChunksTotal != "-" && ChunksTotal != "0")
+    Text += ", chunks " + textOf(Member, "chunksHeld") + " of " + ChunksTotal;
   return Text;
 }
 
--- a/src/ctl/render.h
+++ b/src/ctl/render.h
@@ -1,4 +1,4 @@
-// What the operators' tool prints for people.
+// Human-readable and JSON output of the operators' tool.
 #pragma once
 
 #include "ctl/operator-client.h"
@@ -10,22 +10,24 @@
 
 namespace deckpitch::ctl {
 
-/// JSON with line breaks and two spaces of indentation.
+/// Formats JSON with line breaks and an indentation of two spaces.
 std::string prettyJson(const boost::json::value &Value);
 
-/// "pools/chat: updated, revision 7", and the differences of a conflict.
+/// Formats the result as "pools/chat: updated, revision 7", followed by the
+/// differences if it is a conflict.
 std::string describe(const Resource &Wanted, const ApplyReport &Report);
 
-/// The same as one JSON object.
+/// Returns the same as one JSON object.
 boost::json::value toJson(const Resource &Wanted, const ApplyReport &Report);
 
-/// The words of GET /v1/status: a line for each pool, data centre and member.
+/// Formats the body of GET /v1/status, a line for each pool, data centre and
+/// member.
 std::string describeStatus(const boost::json::value &Status);
 
-/// One line for one event of GET /v1/watch; empty for a bookmark.
+/// Formats an event of GET /v1/watch as one line; empty for a bookmark.
 std::string describeEvent(const boost::json::value &Event);
 
-/// One line for each item of GET /v1/resources/{kind}.
+/// Formats the body of GET /v1/resources/{kind}, a line for each item.
 std::string describeList(const boost::json::value &List);
 
 std::string_view nameOf(ApplyResult Result);
--- a/src/ctl/resource.cc
+++ b/src/ctl/resource.cc
@@ -28,7 +28,7 @@
       "value",
       [&](JsonObjectReader &Inner) {
         Inner.required("name", Out.m_Name);
-        // The name becomes part of the request's path before the entry sees it.
+        // The name goes into the request's path before any entry validates it.
         if (!Out.m_Name.empty() && !isGoodName(Out.m_Name))
           Inner.problem("name", GoodNameExpected);
       },
@@ -46,14 +46,16 @@
   return Text ? boost::json::parse(*Text) : Value;
 }
 
-/// The field's JSON, or empty when the object lacks it.
+/// Returns the field's JSON, or an empty string if the object has no such
+/// field.
 std::string fieldOf(const boost::json::value &Value, std::string_view Field) {
   const auto *Object = Value.if_object();
   const auto *Found = Object ? Object->if_contains(Field) : nullptr;
   return Found ? serialize(*Found) : "";
 }
 
-void addFields(const boost::json::value &Value, std::set<std::string> &Out) {
+void addFieldNames(const boost::json::value &Value,
+                   std::set<std::string> &Out) {
   if (const auto *Object = Value.if_object())
     for (const auto &Each : *Object)
       Out.emplace(Each.key());
@@ -85,9 +87,10 @@
   const auto *Name = Object ? Object->if_contains("name") : nullptr;
   const auto *Revision = Object ? Object->if_contains("revision") : nullptr;
   const auto *Content = Object ? Object->if_contains("value") : nullptr;
-  const bool Whole = Kind && Kind->is_string() && Name && Name->is_string() &&
-                     Revision && Revision->is_number() && Content;
-  if (!Whole)
+  const bool IsComplete = Kind && Kind->is_string() && Name &&
+                          Name->is_string() && Revision &&
+                          Revision->is_number() && Content;
+  if (!IsComplete)
     return fail(ErrorCode::CorruptData, "the answer is not a declared object");
   Resource Out;
   Out.m_Kind = std::string(Kind->get_string());
@@ -124,15 +127,15 @@
                                       const boost::json::value &Current,
                                       const boost::json::value &Wanted) {
   std::set<std::string> Fields;
-  addFields(Base, Fields);
-  addFields(Current, Fields);
-  addFields(Wanted, Fields);
+  addFieldNames(Base, Fields);
+  addFieldNames(Current, Fields);
+  addFieldNames(Wanted, Fields);
   std::vector<Difference> Out;
   for (const std::string &Field : Fields) {
     Difference Each{Field, fieldOf(Base, Field), fieldOf(Current, Field),
                     fieldOf(Wanted, Field)};
-    const bool Moved = Base.is_object() && Each.m_Base != Each.m_Current;
-    if (Moved || Each.m_Current != Each.m_Wanted)
+    const bool HasChanged = Base.is_object() && Each.m_Base != Each.m_Current;
+    if (HasChanged || Each.m_Current != Each.m_Wanted)
       Out.push_back(std::move(Each));
   }
   return Out;
--- a/test/ctl-test.cc
+++ b/test/ctl-test.cc
@@ -18,18 +18,19 @@
               {"name", "chat"}, {"model", "m"}, {"version", Version}}};
 }
 
-/// One object behind the operators' interface, with faults by write.
+/// An entry with one object. Injects a fault into the next write.
 struct FakeEntry {
   enum class Fault {
     None,
     LoseAnswer,     ///< the write takes effect, its answer is lost
-    LoseWrite,      ///< neither takes effect nor is answered
+    LoseWrite,      ///< the write has no effect and no answer
     RaceBefore,     ///< another operator's write comes first
-    RaceThenLose,   ///< the same, and the answer is lost
-    LoseThenRace,   ///< takes effect, then another write comes over it
+    RaceThenLose,   ///< as RaceBefore, and the answer is lost
+    LoseThenRace,   ///< takes effect, then another write replaces the object;
+                    ///< the answer is lost
     Unreachable,    ///< connection refused
     Refuse,         ///< 422
-    LoseThenOutage, ///< no answer, then nothing can be read
+    LoseThenOutage, ///< no effect and no answer, then all reads fail
   };
 
   Outcome<net::HttpResponse> operator()(const net::HttpRequest &Request) {
@@ -105,16 +106,16 @@
 
 struct ApplyCase {
   const char *m_Name;
-  const char *m_Before; ///< version there before; empty: no object
+  const char *m_Before; ///< version before the write; empty: no object
   Fault m_Fault;
   ApplyResult m_Result;
   int m_Writes;
-  const char *m_After; ///< version there afterwards
+  const char *m_After; ///< version after the write
 };
 
 class ApplyFaults : public testing::TestWithParam<ApplyCase> {};
 
-TEST_P(ApplyFaults, LosesNothingAndTellsTheTruth) {
+TEST_P(ApplyFaults, ReportsTrueOutcomeAfterFault) {
   const ApplyCase &Case = GetParam();
   FakeEntry Entry;
   if (*Case.m_Before)
@@ -158,7 +159,7 @@
                   ApplyResult::Unknown, 1, "1"}),
     [](const auto &Info) { return std::string(Info.param.m_Name); });
 
-TEST(Apply, ExpectedRevisionIsHeldAgainstTheObject) {
+TEST(Apply, ExpectedRevisionMismatchIsConflict) {
   FakeEntry Entry;
   Entry.put(boost::json::serialize(pool("1").m_Value));
   const ApplyReport Report = applyResource(std::ref(Entry), pool("2"), 4);
@@ -167,22 +168,22 @@
   EXPECT_EQ(Entry.m_Json, boost::json::serialize(pool("1").m_Value));
 }
 
-std::string faultsOf(std::string_view Json) {
+std::string parseErrors(std::string_view Json) {
   const auto Parsed = outcomeOf([&] { return parseResources(Json); });
   return Parsed ? "" : Parsed.error().m_Message;
 }
 
 TEST(ResourceFile, ReadsOneObjectOrAnArrayWithComments) {
-  EXPECT_EQ(faultsOf(R"(// one
+  EXPECT_EQ(parseErrors(R"(// one
     {"kind": "pools", "value": {"name": "a", "model": "m"}})"),
             "");
-  EXPECT_EQ(faultsOf(R"([{"kind": "organisations", "value": {"name": "o"}},
+  EXPECT_EQ(parseErrors(R"([{"kind": "organisations", "value": {"name": "o"}},
                          {"kind": "upstreams", "value": {"name": "u"}},])"),
             "");
 }
 
-TEST(ResourceFile, NamesEveryFault) {
-  const std::string Found = faultsOf(
+TEST(ResourceFile, ReportsEveryError) {
+  const std::string Found = parseErrors(
       R"([{"kind": "pool", "value": {"name": "a"}}, {"kind": "pools"},
           {"kind": "pools", "value": {"name": 7}, "extra": 1}, 3])");
   for (const char *Part :
@@ -192,13 +193,13 @@
     EXPECT_NE(Found.find(Part), std::string::npos) << Part << "\n" << Found;
 }
 
-struct Ran {
+struct CommandResult {
   ExitCode m_Code;
   std::string m_Out;
   std::string m_Err;
 };
 
-Ran run(Options Given) {
+CommandResult run(Options Given) {
   std::ostringstream Out;
   std::ostringstream Err;
   const ExitCode Code = runCommand(Given, Out, Err);
@@ -211,28 +212,29 @@
   return Path;
 }
 
-TEST(Commands, ExitCodesOfTheCommandLine) {
+TEST(Commands, ExitCodes) {
   EXPECT_EQ(run({}).m_Code, ExitCode::Usage);
-  EXPECT_EQ(run({.m_Words = {"fly"}}).m_Code, ExitCode::Usage);
-  EXPECT_EQ(run({.m_Words = {"status"}}).m_Code, ExitCode::Usage);
-  EXPECT_EQ(run({.m_Words = {"get"}, .m_Entries = {"127.0.0.1:1"}}).m_Code,
+  EXPECT_EQ(run({.m_Positional = {"fly"}}).m_Code, ExitCode::Usage);
+  EXPECT_EQ(run({.m_Positional = {"status"}}).m_Code, ExitCode::Usage);
+  EXPECT_EQ(run({.m_Positional = {"get"}, .m_Entries = {"127.0.0.1:1"}}).m_Code,
             ExitCode::Usage);
-  EXPECT_EQ(run({.m_Words = {"status"}, .m_Entries = {"127.0.0.1:1"}}).m_Code,
-            ExitCode::Unavailable);
-  EXPECT_EQ(run({.m_Words = {"check-settings", "/no/such/file"}}).m_Code,
+  EXPECT_EQ(
+      run({.m_Positional = {"status"}, .m_Entries = {"127.0.0.1:1"}}).m_Code,
+      ExitCode::Unavailable);
+  EXPECT_EQ(run({.m_Positional = {"check-settings", "/no/such/file"}}).m_Code,
             ExitCode::Refused);
 }
 
-TEST(Commands, CheckSettingsNamesFileAndFault) {
+TEST(Commands, CheckSettingsReportsFileAndError) {
   const std::string Path =
       writeFile("bad-settings.json", R"({"role": "agent", "instance": 1})");
-  const Ran Checked = run({.m_Words = {"check-settings", Path}});
+  const CommandResult Checked = run({.m_Positional = {"check-settings", Path}});
   EXPECT_EQ(Checked.m_Code, ExitCode::Refused);
   EXPECT_NE(Checked.m_Err.find(Path + ": instance: found 1"),
             std::string::npos);
 }
 
-/// A real server on loopback in front of the fake entry.
+/// Serves the fake entry over HTTP on loopback.
 class CommandsOverHttp : public testing::Test {
 protected:
   void SetUp() override {
@@ -260,8 +262,8 @@
     }
     if (Request.m_Method == "PUT")
       m_WrittenBy = Request.m_Headers.find("X-Operator");
-    auto Whole = m_Entry(Request);
-    co_await Answer.send(*Whole);
+    auto Response = m_Entry(Request);
+    co_await Answer.send(*Response);
   }
 
   FakeEntry m_Entry;
@@ -274,25 +276,26 @@
   std::string m_Address;
 };
 
-TEST_F(CommandsOverHttp, AppliesAFileOverTheFirstEntryThatAnswers) {
+TEST_F(CommandsOverHttp, ApplySkipsUnreachableEntries) {
   const std::string Path =
       writeFile("pool.json", R"({"kind": "pools", "value": {"name": "chat",
                        "model": "m", "version": "2"}})");
-  const Ran Applied = run({.m_Words = {"apply"},
-                           .m_Entries = {"127.0.0.1:1", m_Address},
-                           .m_Operator = "amina",
-                           .m_File = Path});
-  EXPECT_EQ(Applied.m_Code, ExitCode::Good) << Applied.m_Err;
+  const CommandResult Applied = run({.m_Positional = {"apply"},
+                                     .m_Entries = {"127.0.0.1:1", m_Address},
+                                     .m_Operator = "amina",
+                                     .m_File = Path});
+  EXPECT_EQ(Applied.m_Code, ExitCode::Success) << Applied.m_Err;
   EXPECT_EQ(Applied.m_Out, "pools/chat: created, revision 5\n");
   EXPECT_EQ(m_WrittenBy, "amina");
-  const Ran Got =
-      run({.m_Words = {"get", "pools", "chat"}, .m_Entries = {m_Address}});
-  EXPECT_EQ(Got.m_Code, ExitCode::Good);
+  const CommandResult Got =
+      run({.m_Positional = {"get", "pools", "chat"}, .m_Entries = {m_Address}});
+  EXPECT_EQ(Got.m_Code, ExitCode::Success);
   EXPECT_NE(Got.m_Out.find("\"version\": \"2\""), std::string::npos);
 }
 
-TEST_F(CommandsOverHttp, WatchPrintsWholeLinesAndEndsUnavailable) {
-  const Ran Watched = run({.m_Words = {"watch"}, .m_Entries = {m_Address}});
+TEST_F(CommandsOverHttp, WatchJoinsSplitLinesAndExitsUnavailable) {
+  const CommandResult Watched =
+      run({.m_Positional = {"watch"}, .m_Entries = {m_Address}});
   EXPECT_EQ(Watched.m_Code, ExitCode::Unavailable);
   EXPECT_EQ(Watched.m_Out.rfind("- a1: ", 0), 0U) << Watched.m_Out;
 }
