--- a/src/daemon/weights-agent.cc
+++ b/src/daemon/weights-agent.cc
@@ -14,10 +14,10 @@
 
 using asio::ip::tcp;
 constexpr auto UseAwaitable = asio::as_tuple(asio::use_awaitable);
-constexpr Duration BusyRest = std::chrono::milliseconds(50);
-constexpr Duration IdleRest = std::chrono::milliseconds(500);
-constexpr Duration FaultRest = std::chrono::milliseconds(500);
-constexpr Duration HelloLimit = std::chrono::seconds(5);
+constexpr Duration BusyInterval = std::chrono::milliseconds(50);
+constexpr Duration IdleInterval = std::chrono::milliseconds(500);
+constexpr Duration RetryDelay = std::chrono::milliseconds(500);
+constexpr Duration HelloTimeout = std::chrono::seconds(5);
 
 std::vector<InstanceId> holdersOf(const WeightsId &Weights,
                                   const DeclarationSet &Declarations) {
@@ -40,8 +40,9 @@
 
 } // namespace
 
-WeightsAgent::WeightsAgent(Process &In, asio::io_context &Io, AskPeers Ask)
-    : m_Process(In), m_Io(Io), m_AskPeers(std::move(Ask)),
+WeightsAgent::WeightsAgent(Process &In, asio::io_context &Io,
+                           RequestPeers PeerRequester)
+    : m_Process(In), m_Io(Io), m_RequestPeers(std::move(PeerRequester)),
       m_Context{Io,
                 In.m_Settings,
                 In.m_Incarnation,
@@ -104,8 +105,8 @@
     co_return;
   }
   while (!m_Stopped) {
-    const Duration Rest = co_await round();
-    m_Wake.expires_after(Rest);
+    const Duration Delay = co_await reconcile();
+    m_Wake.expires_after(Delay);
     co_await m_Wake.async_wait(UseAwaitable);
   }
 }
@@ -114,15 +115,15 @@
   ServingReport Report;
   Report.m_Pool = m_Process.m_Settings.m_Upstream.m_Pool;
   while (!m_Stopped) {
-    Report.m_Ready = co_await serviceAnswers();
+    Report.m_Ready = co_await isServiceHealthy();
     Report.m_Condition = Report.m_Ready ? "Serving" : "Unhealthy";
     publish(Report);
-    m_Wake.expires_after(IdleRest);
+    m_Wake.expires_after(IdleInterval);
     co_await m_Wake.async_wait(UseAwaitable);
   }
 }
 
-asio::awaitable<bool> WeightsAgent::serviceAnswers() {
+asio::awaitable<bool> WeightsAgent::isServiceHealthy() {
   net::HttpRequest Request{"GET", "/v1/health"};
   net::CallLimits Limits;
   Limits.m_FirstByte = std::chrono::milliseconds(2'000);
@@ -131,39 +132,40 @@
   co_return Answer && Answer->m_Status == 200;
 }
 
-/// One round: what the declarations ask, what the engine says, the next step.
-asio::awaitable<Duration> WeightsAgent::round() {
+/// Compares the declarations with the engine's status and performs the next
+/// step. Returns the delay until the next call.
+asio::awaitable<Duration> WeightsAgent::reconcile() {
   const auto Declarations = m_Process.m_Declarations.load();
   const std::uint64_t Generation = m_Process.m_Declarations.generation();
   m_Goal = goalOf(*Declarations, m_Process.m_Settings.m_Instance);
   auto Engine = co_await m_Context.m_Engine->status();
   if (!Engine) {
     publish(ServingReport{m_Goal.m_Pool, {}, {}, false, 0, 0, "EngineDown"});
-    co_return FaultRest;
+    co_return RetryDelay;
   }
-  std::erase_if(m_LoadedHere,
+  std::erase_if(m_LoadedByAgent,
                 [&](const auto &Each) { return !Engine->find(Each.first); });
   const RolloutStep Step =
-      nextStep(m_Goal, *Engine, copyStates(), m_Served,
+      nextStep(m_Goal, *Engine, copyStates(), m_LastServed,
                m_Process.m_InFlight.load(std::memory_order_relaxed));
   if (Step.m_Kind == StepKind::Serve)
-    m_Served = {m_Goal.m_Pool, m_Goal.m_Activate};
+    m_LastServed = {m_Goal.m_Pool, m_Goal.m_Activate};
   stopUnwantedCopies(Step);
   if (Generation != m_Generation)
     updateCopies(*Declarations);
   m_Generation = Generation;
   publish(Step, *Engine);
   co_await perform(Step, *Engine);
-  const bool Resting =
+  const bool IsSettled =
       Step.m_Kind == StepKind::Serve || Step.m_Kind == StepKind::Idle;
-  co_return Resting ? IdleRest : BusyRest;
+  co_return IsSettled ? IdleInterval : BusyInterval;
 }
 
 std::vector<CopyState> WeightsAgent::copyStates() const {
   std::vector<CopyState> Out;
   for (const auto &[Weights, Each] : m_Copies)
     Out.push_back(Each->state());
-  for (const auto &[Weights, Each] : m_LoadedHere)
+  for (const auto &[Weights, Each] : m_LoadedByAgent)
     if (!m_Copies.contains(Weights))
       Out.push_back(Each);
   return Out;
@@ -171,7 +173,7 @@
 
 bool WeightsAgent::wanted(const WeightsId &Weights) const {
   if (Weights == m_Goal.m_Activate || Weights == m_Goal.m_Prefetch ||
-      Weights == m_Served.m_Weights)
+      Weights == m_LastServed.m_Weights)
     return true;
   return std::any_of(m_Copies.begin(), m_Copies.end(), [&](const auto &Each) {
     const bool IsGoal =
@@ -180,7 +182,7 @@
   });
 }
 
-/// A copy that nobody wants any more stops at once.
+/// Stops copies that are neither wanted nor part of the current step.
 void WeightsAgent::stopUnwantedCopies(const RolloutStep &Step) {
   for (auto It = m_Copies.begin(); It != m_Copies.end();) {
     if (wanted(It->first) || It->first == Step.m_Weights) {
@@ -211,11 +213,11 @@
     break;
   case StepKind::Activate:
   case StepKind::Unload:
-    co_await order(Step);
+    co_await activateOrUnload(Step);
     break;
   case StepKind::Serve:
-    co_await seedAgain(Engine);
-    co_await tidyStaging(std::move(Engine));
+    co_await resumeSeeding(Engine);
+    co_await freeUnusedStaging(std::move(Engine));
     break;
   case StepKind::Idle:
   case StepKind::Drain:
@@ -228,7 +230,7 @@
   const auto Found = m_Copies.find(Weights);
   if (Found != m_Copies.end()) {
     if (Found->second->originChanged())
-      co_await replaceChanged(Weights);
+      co_await discardChangedCopy(Weights);
     co_return;
   }
   auto Wanted = co_await fetchManifest(Weights);
@@ -239,32 +241,32 @@
                                 {"digest", toHex(Wanted->m_Whole)}});
   const SwarmOptions Options =
       swarmOptionsFor(m_Process.m_Settings.m_Weights, Wanted->m_ChunkBytes);
-  auto Fresh = std::make_shared<WeightsCopy>(m_Context, *Wanted, Options);
-  Fresh->setInstances(holdersOf(Weights, *m_Process.m_Declarations.load()));
-  Fresh->setPreference(m_Goal.m_Preference);
+  auto NewCopy = std::make_shared<WeightsCopy>(m_Context, *Wanted, Options);
+  NewCopy->setInstances(holdersOf(Weights, *m_Process.m_Declarations.load()));
+  NewCopy->setPreference(m_Goal.m_Preference);
   std::vector<Manifest> Others = m_Manifests;
   std::erase_if(m_Manifests, [&](const Manifest &Each) {
     return Each.m_Weights == Weights;
   });
   m_Manifests.push_back(*Wanted);
-  co_await Fresh->recover(std::move(Engine), std::move(Others));
-  Fresh->onAskForPeers([this, Weights] { m_AskPeers(Weights); });
-  Fresh->onGain([this, Weights] {
+  co_await NewCopy->recover(std::move(Engine), std::move(Others));
+  NewCopy->onAskForPeers([this, Weights] { m_RequestPeers(Weights); });
+  NewCopy->onChunkStaged([this, Weights] {
     const auto Copy = m_Copies.find(Weights);
     if (Copy == m_Copies.end() || !Copy->second->swarm().complete())
       return;
     net::log(Event::CopyComplete, {{"weights", Weights.m_Text}});
     wake();
   });
-  m_Copies[Weights] = Fresh;
-  Fresh->setPeers(m_Peers[Weights]);
-  Fresh->start();
-  m_AskPeers(Weights);
+  m_Copies[Weights] = NewCopy;
+  NewCopy->setPeers(m_Peers[Weights]);
+  NewCopy->start();
+  m_RequestPeers(Weights);
 }
 
-/// The origin holds other content under the same name: start over with its
-/// new manifest; chunks with equal digests are kept.
-asio::awaitable<void> WeightsAgent::replaceChanged(WeightsId Weights) {
+/// Discards a copy whose origin now has other content under the same name. The
+/// next copy starts from the new manifest and keeps chunks with equal digests.
+asio::awaitable<void> WeightsAgent::discardChangedCopy(WeightsId Weights) {
   const auto Current = co_await fetchManifest(Weights);
   const auto Found = m_Copies.find(Weights);
   if (!Current || Found == m_Copies.end() ||
@@ -278,14 +280,14 @@
 
 asio::awaitable<std::optional<Manifest>>
 WeightsAgent::fetchManifest(WeightsId Weights) {
-  auto Got = co_await m_Context.m_Origin->manifest(Weights);
-  if (!Got && m_Context.m_Store)
-    Got = co_await m_Context.m_Store->manifest(Weights);
-  if (Got)
-    co_return *Got;
+  auto Fetched = co_await m_Context.m_Origin->manifest(Weights);
+  if (!Fetched && m_Context.m_Store)
+    Fetched = co_await m_Context.m_Store->manifest(Weights);
+  if (Fetched)
+    co_return *Fetched;
   net::log(Event::ManifestUnavailable,
-           {{"weights", Weights.m_Text}, {"error", Got.error().m_Message}});
-  co_await pauseFor(FaultRest);
+           {{"weights", Weights.m_Text}, {"error", Fetched.error().m_Message}});
+  co_await pauseFor(RetryDelay);
   co_return std::nullopt;
 }
 
@@ -294,22 +296,22 @@
   const auto Done =
       co_await m_Context.m_Engine->load(Copy->manifest(), m_Goal.m_Fence);
   if (Done) {
-    // Without its chunks: they may be given up while the weights stay loaded.
+    // Not marked complete: staging may be freed while the weights stay loaded.
     CopyState State = Copy->state();
     State.m_Complete = false;
-    m_LoadedHere[Weights] = std::move(State);
+    m_LoadedByAgent[Weights] = std::move(State);
     co_return;
   }
-  noteRefusal(Done.error(), Weights);
+  recordRefusal(Done.error(), Weights);
   if (Done.error().m_Code == ErrorCode::CorruptData) {
-    // The staged chunks are checked again, and the bad ones fetched.
+    // The next copy verifies the staged chunks and fetches the corrupt ones.
     Copy->stop();
     m_Copies.erase(Weights);
   }
-  co_await pauseFor(FaultRest);
+  co_await pauseFor(RetryDelay);
 }
 
-asio::awaitable<void> WeightsAgent::order(RolloutStep Step) {
+asio::awaitable<void> WeightsAgent::activateOrUnload(RolloutStep Step) {
   Outcome<bool> Done = Error{};
   if (Step.m_Kind == StepKind::Activate)
     Done =
@@ -317,8 +319,8 @@
   else
     Done = co_await m_Context.m_Engine->unload(Step.m_Weights, m_Goal.m_Fence);
   if (!Done) {
-    noteRefusal(Done.error(), Step.m_Weights);
-    co_await pauseFor(FaultRest);
+    recordRefusal(Done.error(), Step.m_Weights);
+    co_await pauseFor(RetryDelay);
     co_return;
   }
   if (Step.m_Kind == StepKind::Activate)
@@ -326,14 +328,15 @@
                                        {"fence", m_Goal.m_Fence.m_Value}});
 }
 
-void WeightsAgent::noteRefusal(const Error &Fault, const WeightsId &Weights) {
-  m_LastRefusal = Fault.m_Message;
+void WeightsAgent::recordRefusal(const Error &Cause, const WeightsId &Weights) {
+  m_LastRefusal = Cause.m_Message;
   net::log(Event::EngineOrderRefused,
-           {{"weights", Weights.m_Text}, {"error", Fault.m_Message}});
+           {{"weights", Weights.m_Text}, {"error", Cause.m_Message}});
 }
 
-/// After a restart of the agent: serves peers from what is staged already.
-asio::awaitable<void> WeightsAgent::seedAgain(const EngineStatus &Engine) {
+/// After a restart of the agent, serves peers again from complete staging of
+/// the active weights.
+asio::awaitable<void> WeightsAgent::resumeSeeding(const EngineStatus &Engine) {
   const WeightsId Weights = m_Goal.m_Activate;
   const bool Staged = std::any_of(
       Engine.m_Staging.begin(), Engine.m_Staging.end(),
@@ -346,17 +349,17 @@
     co_return;
   const SwarmOptions Options =
       swarmOptionsFor(m_Process.m_Settings.m_Weights, Held->m_ChunkBytes);
-  auto Fresh = std::make_shared<WeightsCopy>(m_Context, *Held, Options);
-  co_await Fresh->recover(Engine, {});
-  if (!Fresh->swarm().complete())
+  auto NewCopy = std::make_shared<WeightsCopy>(m_Context, *Held, Options);
+  co_await NewCopy->recover(Engine, {});
+  if (!NewCopy->swarm().complete())
     co_return;
-  m_Copies[Weights] = Fresh;
+  m_Copies[Weights] = NewCopy;
   m_Manifests.push_back(*Held);
-  Fresh->start();
+  NewCopy->start();
 }
 
-/// Frees staging of weights that neither serve nor are wanted.
-asio::awaitable<void> WeightsAgent::tidyStaging(EngineStatus Engine) {
+/// Frees the staging of weights that are no longer wanted.
+asio::awaitable<void> WeightsAgent::freeUnusedStaging(EngineStatus Engine) {
   for (const StagedWeights &Each : Engine.m_Staging) {
     if (wanted(Each.m_Weights))
       continue;
@@ -403,25 +406,25 @@
   while (!m_Stopped) {
     auto [Ec, Socket] = co_await m_Acceptor.async_accept(UseAwaitable);
     if (Ec) {
-      co_await pauseFor(BusyRest);
+      co_await pauseFor(BusyInterval);
       continue;
     }
     net::tuneBulkSocket(Socket);
     auto Connection = std::make_shared<BulkConnection>(std::move(Socket));
     Connection->start();
-    auto Greet =
+    auto AcceptHello =
         [](std::shared_ptr<WeightsAgent> Self,
            std::shared_ptr<BulkConnection> With) -> asio::awaitable<void> {
-      co_await Self->greet(std::move(With));
+      co_await Self->acceptHello(std::move(With));
     };
-    asio::co_spawn(m_Io, Greet(shared_from_this(), std::move(Connection)),
+    asio::co_spawn(m_Io, AcceptHello(shared_from_this(), std::move(Connection)),
                    asio::detached);
   }
 }
 
 asio::awaitable<void>
-WeightsAgent::greet(std::shared_ptr<BulkConnection> Connection) {
-  asio::steady_timer Limit(m_Io, HelloLimit);
+WeightsAgent::acceptHello(std::shared_ptr<BulkConnection> Connection) {
+  asio::steady_timer Limit(m_Io, HelloTimeout);
   Limit.async_wait([Connection](const boost::system::error_code &Ec) {
     if (!Ec)
       Connection->close();
--- a/src/daemon/weights-copy.cc
+++ b/src/daemon/weights-copy.cc
@@ -16,19 +16,22 @@
 constexpr auto UseAwaitable = asio::as_tuple(asio::use_awaitable);
 constexpr Duration TickWhileCopying = std::chrono::milliseconds(20);
 constexpr Duration TickWhenComplete = std::chrono::milliseconds(200);
-/// More than agents differ in when they hear of a rollout.
+/// Longer than the delay between the agents that learn of a rollout first and
+/// last.
 constexpr Duration OriginStep = std::chrono::seconds(2);
-constexpr Duration RetryPeer = std::chrono::seconds(1);
-/// For a connection and, anew, for the hello of the called peer: as long as a
-/// linked one may be silent. One that vanished would keep its place for ever.
-constexpr std::chrono::milliseconds GreetLimit{5'000};
-constexpr Duration StagingRetry = std::chrono::milliseconds(200);
-constexpr std::uint32_t MostPeersFactor = 3; ///< accepted, over those sought
-constexpr std::uint32_t MostExpected = 4;
-constexpr std::uint32_t MostUnstaged = 8;
-/// Chunks of staging that an instance may leave unanswered in a row: each costs
-/// seconds in which nothing is copied, and peers or the origin have them too.
-constexpr std::uint32_t MostUnanswered = 3;
+constexpr Duration PeerRetryInterval = std::chrono::seconds(1);
+/// Limits the connection attempt and then, separately, the wait for the peer's
+/// hello; equals the silence allowed on an established connection. Without it a
+/// vanished peer would occupy a connection forever.
+constexpr std::chrono::milliseconds HandshakeTimeout{5'000};
+constexpr Duration StagingRetryDelay = std::chrono::milliseconds(200);
+/// Connections accepted per peer sought.
+constexpr std::uint32_t MaxPeersFactor = 3;
+constexpr std::uint32_t MaxExpected = 4;
+constexpr std::uint32_t MaxUnstaged = 8;
+/// Consecutive unanswered reads of staging before recovery stops: each one
+/// delays the copy by seconds, and peers or the origin have the chunks too.
+constexpr std::uint32_t MaxUnansweredReads = 3;
 
 std::span<const std::uint8_t> bytesOf(const std::string &Text) {
   return {reinterpret_cast<const std::uint8_t *>(Text.data()), Text.size()};
@@ -39,9 +42,9 @@
           Value.m_Bytes.size()};
 }
 
-asio::awaitable<bool> reach(tcp::socket &Socket, tcp::endpoint To) {
+asio::awaitable<bool> connectSocket(tcp::socket &Socket, tcp::endpoint To) {
   net::ProgressLimit Limit(Socket);
-  Limit.expiresAfter(GreetLimit);
+  Limit.expiresAfter(HandshakeTimeout);
   auto [Ec] = co_await Socket.async_connect(To, UseAwaitable);
   co_return !Ec;
 }
@@ -56,12 +59,14 @@
                              std::uint32_t ChunkBytes) {
   SwarmOptions Options;
   Options.m_OriginStep = OriginStep;
-  // Uploads, chunks expected, origin reads, and what waits to be staged.
-  const auto Room = static_cast<std::uint32_t>(std::clamp<std::uint64_t>(
-      Settings.m_MemoryBytes / std::max(1U, ChunkBytes), 1, 1024));
-  Options.m_Expected = std::clamp(Room / 5, 1U, MostExpected);
-  Options.m_Unstaged = std::clamp(Room / 5, 1U, MostUnstaged);
-  Options.m_OriginReads = std::clamp(Room / 8, 1U, Options.m_OriginReads);
+  // Shared by uploads, expected chunks, origin reads and chunks to be staged.
+  const auto MaxChunksInMemory =
+      static_cast<std::uint32_t>(std::clamp<std::uint64_t>(
+          Settings.m_MemoryBytes / std::max(1U, ChunkBytes), 1, 1024));
+  Options.m_Expected = std::clamp(MaxChunksInMemory / 5, 1U, MaxExpected);
+  Options.m_Unstaged = std::clamp(MaxChunksInMemory / 5, 1U, MaxUnstaged);
+  Options.m_OriginReads =
+      std::clamp(MaxChunksInMemory / 8, 1U, Options.m_OriginReads);
   return Options;
 }
 
@@ -73,13 +78,13 @@
               seedOf(Context.m_Settings.m_Instance)) {}
 
 template <typename Step> void WeightsCopy::spawn(Step Run) {
-  // The copy outlives what it started; Run is a member's coroutine.
-  auto Hold = [](std::shared_ptr<WeightsCopy> Self,
-                 Step Body) -> asio::awaitable<void> {
+  // Keeps the copy alive while Run, a coroutine of a member, is under way.
+  auto KeepAlive = [](std::shared_ptr<WeightsCopy> Self,
+                      Step Body) -> asio::awaitable<void> {
     co_await Body();
     Self.reset();
   };
-  asio::co_spawn(m_Context.m_Io, Hold(shared_from_this(), std::move(Run)),
+  asio::co_spawn(m_Context.m_Io, KeepAlive(shared_from_this(), std::move(Run)),
                  asio::detached);
 }
 
@@ -101,7 +106,7 @@
       continue;
     for (std::uint32_t Index : Staged.m_Chunks)
       if (Index < m_Manifest.chunkCount())
-        co_await takeStaged(Staged.m_Weights, Index, Index);
+        co_await recoverChunk(Staged.m_Weights, Index, Index);
   }
   std::map<Digest, std::uint32_t> Missing;
   for (std::uint32_t Chunk = 0; Chunk < m_Manifest.chunkCount(); ++Chunk)
@@ -111,19 +116,19 @@
     for (std::uint32_t Index = 0; Index < Other.chunkCount(); ++Index) {
       const auto Found = Missing.find(Other.m_Chunks[Index]);
       if (Found != Missing.end() && m_Swarm.wants(Found->second))
-        co_await takeStaged(Other.m_Weights, Index, Found->second);
+        co_await recoverChunk(Other.m_Weights, Index, Found->second);
     }
 }
 
-/// Takes a staged chunk as one of this copy's, if its digest fits.
-asio::awaitable<void> WeightsCopy::takeStaged(WeightsId From,
-                                              std::uint32_t Index,
-                                              std::uint32_t Chunk) {
-  if (m_Unanswered >= MostUnanswered)
+/// Adds a staged chunk to this copy if its digest matches.
+asio::awaitable<void> WeightsCopy::recoverChunk(WeightsId From,
+                                                std::uint32_t Index,
+                                                std::uint32_t Chunk) {
+  if (m_UnansweredReads >= MaxUnansweredReads)
     co_return;
   auto Bytes = co_await m_Context.m_Engine->staged(From, Index);
-  const bool IsAnswered = Bytes || Bytes.error().m_Code == ErrorCode::NotFound;
-  m_Unanswered = IsAnswered ? 0 : m_Unanswered + 1;
+  const bool HasAnswered = Bytes || Bytes.error().m_Code == ErrorCode::NotFound;
+  m_UnansweredReads = HasAnswered ? 0 : m_UnansweredReads + 1;
   if (!Bytes || !matches(Chunk, *Bytes))
     co_return;
   if (From != m_Manifest.m_Weights) {
@@ -150,7 +155,7 @@
 }
 
 void WeightsCopy::setPeers(std::vector<PeerAddress> Peers) {
-  m_Known = std::move(Peers);
+  m_KnownPeers = std::move(Peers);
   connectMore();
 }
 
@@ -159,25 +164,26 @@
     perform(m_Swarm.onTick(now()));
     if (!m_Swarm.complete())
       connectMore();
-    const Duration Rest =
+    const Duration Interval =
         m_Swarm.complete() ? TickWhenComplete : TickWhileCopying;
-    co_await pauseFor(Rest);
+    co_await pauseFor(Interval);
   }
 }
 
-bool WeightsCopy::linked(const InstanceId &Id) const {
+bool WeightsCopy::isConnected(const InstanceId &Id) const {
   return std::any_of(m_Peers.begin(), m_Peers.end(),
                      [&](const auto &Each) { return Each.second.m_Id == Id; });
 }
 
 void WeightsCopy::connectMore() {
   const TimePoint Now = now();
-  for (const PeerAddress &Each : m_Known) {
+  for (const PeerAddress &Each : m_KnownPeers) {
     const std::size_t Links = m_Peers.size() + m_Connecting.size();
     if (m_Stopped || Links >= m_Context.m_Settings.m_Weights.m_Peers)
       return;
     const bool Usable = Each.m_Id != m_Context.m_Settings.m_Instance &&
-                        !linked(Each.m_Id) && !m_Connecting.contains(Each.m_Id);
+                        !isConnected(Each.m_Id) &&
+                        !m_Connecting.contains(Each.m_Id);
     if (!Usable || m_Swarm.setAside(Each.m_Id, Now) ||
         Now < m_RetryAt[Each.m_Id])
       continue;
@@ -188,41 +194,41 @@
 
 asio::awaitable<void> WeightsCopy::connect(PeerAddress To) {
   const InstanceId Id = To.m_Id;
-  m_RetryAt[Id] = now() + RetryPeer;
-  co_await greet(std::move(To));
+  m_RetryAt[Id] = now() + PeerRetryInterval;
+  co_await handshake(std::move(To));
   m_Connecting.erase(Id);
 }
 
-asio::awaitable<void> WeightsCopy::greet(PeerAddress To) {
+asio::awaitable<void> WeightsCopy::handshake(PeerAddress To) {
   const auto Endpoint =
       outcomeOf([&] { return net::parseEndpoint(To.m_Bulk); });
   if (!Endpoint)
     co_return;
   tcp::socket Socket(m_Context.m_Io);
-  const bool IsReached = co_await reach(Socket, *Endpoint);
-  if (!IsReached || m_Stopped)
+  const bool IsConnected = co_await connectSocket(Socket, *Endpoint);
+  if (!IsConnected || m_Stopped)
     co_return;
   net::tuneBulkSocket(Socket);
   auto Connection = std::make_shared<BulkConnection>(std::move(Socket));
   Connection->start();
-  const wire::BulkHello Told = hello();
+  const wire::BulkHello SentHello = hello();
   wire::BulkFrame Message;
-  *Message.mutable_hello() = Told;
+  *Message.mutable_hello() = SentHello;
   Connection->send(std::move(Message));
   net::ProgressLimit Limit(Connection->socket());
-  Limit.expiresAfter(GreetLimit);
+  Limit.expiresAfter(HandshakeTimeout);
   auto Answer = co_await net::readBulk(Connection->socket());
   Limit.stop();
-  const bool Greeted = Answer && Answer->m_Header.has_hello() &&
-                       fits(Answer->m_Header.hello()) && !m_Stopped &&
-                       !linked(To.m_Id);
-  if (!Greeted) {
+  const bool IsAccepted = Answer && Answer->m_Header.has_hello() &&
+                          isCompatible(Answer->m_Header.hello()) &&
+                          !m_Stopped && !isConnected(To.m_Id);
+  if (!IsAccepted) {
     Connection->close();
     co_return;
   }
   wire::BulkHello Hello = Answer->m_Header.hello();
-  spawn([this, Connection, Hello, Told] {
-    return serve(Connection, Hello, Told);
+  spawn([this, Connection, Hello, SentHello] {
+    return serve(Connection, Hello, SentHello);
   });
 }
 
@@ -239,7 +245,7 @@
   return Out;
 }
 
-bool WeightsCopy::fits(const wire::BulkHello &Hello) const {
+bool WeightsCopy::isCompatible(const wire::BulkHello &Hello) const {
   return Hello.whole() == textOf(m_Manifest.m_Whole) &&
          Hello.chunks() == m_Manifest.chunkCount() && !Hello.instance().empty();
 }
@@ -248,35 +254,37 @@
 WeightsCopy::accept(std::shared_ptr<BulkConnection> Connection,
                     wire::BulkHello Hello) {
   const InstanceId Id{Hello.instance()};
-  const std::size_t Most =
-      std::size_t{MostPeersFactor} * m_Context.m_Settings.m_Weights.m_Peers;
-  // When both call at once, the call of the lower id stands.
-  const bool OwnCallStands =
+  const std::size_t MaxPeers =
+      std::size_t{MaxPeersFactor} * m_Context.m_Settings.m_Weights.m_Peers;
+  // If both sides connect at once, the connection opened by the lower id wins.
+  const bool PrefersOwnConnection =
       m_Connecting.contains(Id) && m_Context.m_Settings.m_Instance < Id;
-  if (m_Stopped || !fits(Hello) || linked(Id) || OwnCallStands ||
-      m_Peers.size() >= Most) {
+  if (m_Stopped || !isCompatible(Hello) || isConnected(Id) ||
+      PrefersOwnConnection || m_Peers.size() >= MaxPeers) {
     Connection->close();
     co_return;
   }
-  wire::BulkHello Told = hello();
+  wire::BulkHello SentHello = hello();
   wire::BulkFrame Message;
-  *Message.mutable_hello() = Told;
+  *Message.mutable_hello() = SentHello;
   Connection->send(std::move(Message));
-  co_await serve(std::move(Connection), std::move(Hello), std::move(Told));
+  co_await serve(std::move(Connection), std::move(Hello), std::move(SentHello));
 }
 
-/// What came while the other side answered was told to the peers of that time:
-/// one that does not hear of it declines each offer of it, and waits for ever
-/// where this is the only near holder.
-void WeightsCopy::tellSince(const wire::BulkHello &Told, BulkConnection &To) {
+/// Announces chunks that arrived since the hello was sent. Chunks are announced
+/// only to peers already connected, and a peer that does not know of a chunk
+/// declines every offer of it: it would wait forever if this is the only holder
+/// nearby.
+void WeightsCopy::sendMissedUpdates(const wire::BulkHello &SentHello,
+                                    BulkConnection &To) {
   const std::uint32_t Chunks = m_Manifest.chunkCount();
   const ChunkSet None(Chunks);
   wire::BulkFrame Message;
   m_Swarm.here().forEachNotIn(
-      ChunkSet::fromBytes(Chunks, Told.here()), None,
+      ChunkSet::fromBytes(Chunks, SentHello.here()), None,
       [&](std::uint32_t Chunk) { Message.mutable_have()->add_here(Chunk); });
   m_Swarm.seen().forEachNotIn(
-      ChunkSet::fromBytes(Chunks, Told.seen()), None,
+      ChunkSet::fromBytes(Chunks, SentHello.seen()), None,
       [&](std::uint32_t Chunk) { Message.mutable_have()->add_seen(Chunk); });
   if (Message.has_have())
     To.send(std::move(Message));
@@ -284,12 +292,12 @@
 
 asio::awaitable<void>
 WeightsCopy::serve(std::shared_ptr<BulkConnection> Connection,
-                   wire::BulkHello Hello, wire::BulkHello Told) {
+                   wire::BulkHello Hello, wire::BulkHello SentHello) {
   const PeerNumber Number = m_NextPeer++;
   const std::uint32_t Chunks = m_Manifest.chunkCount();
   m_Peers[Number] = {InstanceId{Hello.instance()}, Connection, {}};
-  tellSince(Told, *Connection);
-  Connection->onPieceGone([this] { m_Context.m_Uplink->wake(); });
+  sendMissedUpdates(SentHello, *Connection);
+  Connection->onPieceDone([this] { m_Context.m_Uplink->wake(); });
   perform(m_Swarm.onPeerJoined(
       Number, InstanceId{Hello.instance()}, DataCentreId{Hello.data_centre()},
       ChunkSet::fromBytes(Chunks, Hello.here()),
@@ -359,9 +367,9 @@
   m_Swarm.onProgress(Number, Chunk, now());
   if (Partial.size() < Length)
     co_return true;
-  std::string Whole = std::move(Partial);
+  std::string Complete = std::move(Partial);
   From->second.m_Partial.erase(Chunk);
-  receiveChunk(Number, Chunk, std::move(Whole));
+  receiveChunk(Number, Chunk, std::move(Complete));
   co_return true;
 }
 
@@ -385,12 +393,12 @@
   const auto Stored = co_await m_Context.m_Engine->stage(
       m_Manifest.m_Weights, Chunk, std::move(Bytes));
   if (!Stored)
-    co_await pauseFor(StagingRetry);
+    co_await pauseFor(StagingRetryDelay);
   if (m_Stopped)
     co_return;
   perform(m_Swarm.onStaged(Chunk, Stored.has_value(), now()));
-  if (m_OnGain)
-    m_OnGain();
+  if (m_OnChunkStaged)
+    m_OnChunkStaged();
 }
 
 asio::awaitable<void> WeightsCopy::sendChunk(PeerNumber Number,
@@ -421,8 +429,9 @@
   co_return co_await From.chunk(m_Manifest, Chunk, Pace);
 }
 
-Swarm::OriginOutcome WeightsCopy::check(std::uint32_t Chunk,
-                                        const Outcome<net::OriginChunk> &Read) {
+Swarm::OriginOutcome
+WeightsCopy::classifyOriginRead(std::uint32_t Chunk,
+                                const Outcome<net::OriginChunk> &Read) {
   if (!Read)
     return Read.error().m_Code == ErrorCode::Timeout
                ? Swarm::OriginOutcome::Failed
@@ -445,7 +454,7 @@
     Read = co_await readOnce(*m_Context.m_Store, Chunk);
   if (m_Stopped)
     co_return;
-  const Swarm::OriginOutcome How = check(Chunk, Read);
+  const Swarm::OriginOutcome How = classifyOriginRead(Chunk, Read);
   const bool Wanted = m_Swarm.wants(Chunk);
   perform(m_Swarm.onOriginReply(Chunk, How, now()));
   if (How == Swarm::OriginOutcome::Good && Wanted)
--- a/src/daemon/weights-copy.h
+++ b/src/daemon/weights-copy.h
@@ -1,4 +1,4 @@
-// One copy of weights at one agent: its chunks, peers and transfers.
+// An agent's copy of one set of weights: its chunks, peers and transfers.
 #pragma once
 
 #include "daemon/weights-link.h"
@@ -17,7 +17,7 @@
 
 namespace deckpitch::daemon {
 
-/// What all copies of one agent share; lives on the transfer loop.
+/// State shared by all copies of one agent; used only on the transfer loop.
 struct TransferContext {
   asio::io_context &m_Io;
   const Settings &m_Settings;
@@ -37,19 +37,20 @@
   friend bool operator==(const PeerAddress &, const PeerAddress &) = default;
 };
 
-/// Carries out what the swarm decides. All on the transfer loop.
+/// Performs the actions that its Swarm decides on. All members run on the
+/// transfer loop.
 class WeightsCopy : public std::enable_shared_from_this<WeightsCopy> {
 public:
   using Callback = std::function<void()>;
 
   WeightsCopy(TransferContext &Context, Manifest Of, SwarmOptions Options);
 
-  /// Takes in the chunks that the engine's staging already holds and that
-  /// match their digests, also under other weights; then starts.
+  /// Adds the chunks that the engine already has in staging, under these or
+  /// other weights, if they match the manifest's digests.
   asio::awaitable<void> recover(EngineStatus Engine,
                                 std::vector<Manifest> Others);
   void start();
-  /// Ends all transfers at once; what is staged stays.
+  /// Aborts all transfers; staged chunks are kept.
   void stop();
 
   void setInstances(std::vector<InstanceId> Instances);
@@ -59,19 +60,19 @@
   }
   void setPreference(Preference Value) { m_Swarm.setPreference(Value); }
   void setPeers(std::vector<PeerAddress> Peers);
-  /// Called when more peers are needed.
+  /// Sets the callback that requests more peers.
   void onAskForPeers(Callback Call) { m_AskForPeers = std::move(Call); }
-  /// Called when a chunk was staged.
-  void onGain(Callback Call) { m_OnGain = std::move(Call); }
+  /// Sets the callback that runs after an attempt to stage a chunk.
+  void onChunkStaged(Callback Call) { m_OnChunkStaged = std::move(Call); }
 
-  /// Takes over a connection whose peer said hello first.
+  /// Serves a connection that the peer opened and whose hello was read.
   asio::awaitable<void> accept(std::shared_ptr<BulkConnection> Connection,
                                wire::BulkHello Hello);
 
   const Manifest &manifest() const { return m_Manifest; }
   const Swarm &swarm() const { return m_Swarm; }
   CopyState state() const;
-  /// The origin gave bytes of other content than the manifest names.
+  /// True if the origin served content other than the manifest describes.
   bool originChanged() const { return m_OriginChanged; }
   bool stopped() const { return m_Stopped; }
 
@@ -84,11 +85,12 @@
 
   asio::awaitable<void> tick();
   asio::awaitable<void> connect(PeerAddress To);
-  asio::awaitable<void> greet(PeerAddress To);
-  /// Hello: of the peer; Told: what it was told of this copy.
+  asio::awaitable<void> handshake(PeerAddress To);
+  /// Serves the peer until the connection ends. Hello is the peer's, SentHello
+  /// the one that was sent to it.
   asio::awaitable<void> serve(std::shared_ptr<BulkConnection> Connection,
-                              wire::BulkHello Hello, wire::BulkHello Told);
-  void tellSince(const wire::BulkHello &Told, BulkConnection &To);
+                              wire::BulkHello Hello, wire::BulkHello SentHello);
+  void sendMissedUpdates(const wire::BulkHello &SentHello, BulkConnection &To);
   asio::awaitable<bool> receive(PeerNumber Number, net::BulkMessage Message);
   asio::awaitable<bool> receivePiece(PeerNumber Number,
                                      net::BulkMessage Message);
@@ -96,17 +98,18 @@
   asio::awaitable<void> sendChunk(PeerNumber Number, std::uint32_t Chunk);
   asio::awaitable<void> readOrigin(std::uint32_t Chunk);
   asio::awaitable<void> stage(std::uint32_t Chunk, std::string Bytes);
-  asio::awaitable<void> takeStaged(WeightsId From, std::uint32_t Index,
-                                   std::uint32_t Chunk);
-  Swarm::OriginOutcome check(std::uint32_t Chunk,
-                             const Outcome<net::OriginChunk> &Read);
+  asio::awaitable<void> recoverChunk(WeightsId From, std::uint32_t Index,
+                                     std::uint32_t Chunk);
+  Swarm::OriginOutcome
+  classifyOriginRead(std::uint32_t Chunk,
+                     const Outcome<net::OriginChunk> &Read);
   asio::awaitable<Outcome<net::OriginChunk>> readOnce(net::Origin &From,
                                                       std::uint32_t Chunk);
   bool matches(std::uint32_t Chunk, const std::string &Bytes) const;
   void connectMore();
-  bool linked(const InstanceId &Id) const;
+  bool isConnected(const InstanceId &Id) const;
   wire::BulkHello hello() const;
-  bool fits(const wire::BulkHello &Hello) const;
+  bool isCompatible(const wire::BulkHello &Hello) const;
 
   void perform(const SwarmActions &Actions);
   void perform(const SendGrant &Action);
@@ -125,18 +128,18 @@
   Manifest m_Manifest;
   Swarm m_Swarm;
   std::map<PeerNumber, Peer> m_Peers;
-  std::vector<PeerAddress> m_Known;
+  std::vector<PeerAddress> m_KnownPeers;
   std::set<InstanceId> m_Connecting;
   std::map<InstanceId, TimePoint> m_RetryAt;
   PeerNumber m_NextPeer = 1;
-  std::uint32_t m_Unanswered = 0; ///< chunks asked of staging, in a row
+  std::uint32_t m_UnansweredReads = 0; ///< of staging, consecutive
   Callback m_AskForPeers;
-  Callback m_OnGain;
+  Callback m_OnChunkStaged;
   bool m_OriginChanged = false;
   bool m_Stopped = false;
 };
 
-/// Limits of a copy that keep its chunks in memory within the settings.
+/// Limits the chunks that a copy has in memory to the configured size.
 SwarmOptions swarmOptionsFor(const WeightsSettings &Settings,
                              std::uint32_t ChunkBytes);
 
--- a/src/daemon/weights-link.cc
+++ b/src/daemon/weights-link.cc
@@ -11,12 +11,12 @@
 
 constexpr auto UseAwaitable = asio::as_tuple(asio::use_awaitable);
 constexpr std::size_t PieceBytes = std::size_t{32} * 1024;
-constexpr std::uint64_t LeastBurst = std::uint64_t{64} * 1024;
+constexpr std::uint64_t MinBurstBytes = std::uint64_t{64} * 1024;
 constexpr std::uint64_t BurstsPerSecond = 50;
 
 std::shared_ptr<TokenBucket> makeShaper(std::uint64_t Rate) {
   return std::make_shared<TokenBucket>(
-      Rate, std::max(LeastBurst, Rate / BurstsPerSecond));
+      Rate, std::max(MinBurstBytes, Rate / BurstsPerSecond));
 }
 
 } // namespace
@@ -61,8 +61,8 @@
   m_Socket.shutdown(asio::ip::tcp::socket::shutdown_both, Ignored);
   m_Socket.close(Ignored);
   m_Wake.cancel();
-  if (m_OnPieceGone)
-    m_OnPieceGone();
+  if (m_OnPieceDone)
+    m_OnPieceDone();
 }
 
 asio::awaitable<void> BulkConnection::write() {
@@ -76,8 +76,8 @@
       Written = co_await net::writeBulk(m_Socket, m_Piece->m_Header,
                                         m_Piece->m_Bytes);
       m_Piece.reset();
-      if (m_OnPieceGone)
-        m_OnPieceGone();
+      if (m_OnPieceDone)
+        m_OnPieceDone();
     } else {
       co_await m_Wake.async_wait(UseAwaitable);
     }
--- a/src/daemon/weights-link.h
+++ b/src/daemon/weights-link.h
@@ -1,4 +1,4 @@
-// The agent's link for weights: shaped, and shared by connections to peers.
+// The rate-limited link of an agent that all its peer connections share.
 #pragma once
 
 #include "daemon/clock.h"
@@ -21,20 +21,23 @@
 
 namespace asio = boost::asio;
 
-/// One connection to a peer. Messages go out in order, before pieces.
+/// A connection to a peer. Messages are sent in order and before a pending
+/// piece.
 class BulkConnection : public std::enable_shared_from_this<BulkConnection> {
 public:
   explicit BulkConnection(asio::ip::tcp::socket Socket);
 
-  /// Starts to write what is sent.
+  /// Starts the loop that writes queued messages and pieces.
   void start();
   void send(wire::BulkFrame Message);
-  /// Only when piecePending() is false.
+  /// Requires that piecePending() is false.
   void sendPiece(wire::BulkFrame Header, std::string Bytes);
   bool piecePending() const { return m_Piece.has_value(); }
   bool closed() const { return m_Closed; }
   void close();
-  void onPieceGone(std::function<void()> Call) { m_OnPieceGone = Call; }
+  /// Sets the callback that runs once a piece is written or the connection is
+  /// closed.
+  void onPieceDone(std::function<void()> Call) { m_OnPieceDone = Call; }
   asio::ip::tcp::socket &socket() { return m_Socket; }
 
 private:
@@ -44,19 +47,20 @@
   asio::steady_timer m_Wake;
   std::deque<wire::BulkFrame> m_Messages;
   std::optional<net::BulkMessage> m_Piece;
-  std::function<void()> m_OnPieceGone;
+  std::function<void()> m_OnPieceDone;
   bool m_Closed = false;
 };
 
-/// Sends chunks one after the other at the link's rate. A later chunk moves
-/// only while the receivers of the earlier ones cannot take more.
+/// Sends chunks in order at the link's rate. A later chunk proceeds only while
+/// the connections of the earlier ones still have a piece to write.
 class Uplink : public std::enable_shared_from_this<Uplink> {
 public:
   Uplink(asio::io_context &Io, std::shared_ptr<TokenBucket> Shaper);
 
   void start();
   void stop();
-  /// OnDone is called once, whether the chunk went out or the link broke.
+  /// Queues a chunk. OnDone is called once, when the chunk was sent or the
+  /// connection closed.
   void send(std::shared_ptr<BulkConnection> To, std::uint32_t Chunk,
             std::shared_ptr<const std::string> Bytes,
             std::function<void()> OnDone);
@@ -84,7 +88,8 @@
   bool m_Stopped = false;
 };
 
-/// Both directions of the link, as the settings shape it.
+/// The rate limiters of both directions; one and the same if the link is
+/// shared.
 struct ShapedLink {
   std::shared_ptr<TokenBucket> m_Up;
   std::shared_ptr<TokenBucket> m_Down;
--- a/src/daemon/weights.cc
+++ b/src/daemon/weights.cc
@@ -1,4 +1,4 @@
-// The agents' module "weights", and the entries' module "peers".
+// The module "weights" of agents and the module "peers" of entries.
 #include "daemon/weights-agent.h"
 #include "deckpitch/peer-set.h"
 
@@ -10,13 +10,14 @@
 
 namespace {
 
-/// Hands what the control loop learns to the agent on the transfer loop.
+/// Forwards peer sets from the control loop to the WeightsAgent on the transfer
+/// loop.
 class WeightsModule final : public Module {
 public:
   explicit WeightsModule(Process &In)
       : m_Process(In), m_Io(In.m_Threads.nextWorker()),
         m_Agent(std::make_shared<WeightsAgent>(
-            In, m_Io, [this](WeightsId Weights) { askPeers(Weights); })) {}
+            In, m_Io, [this](WeightsId Weights) { requestPeers(Weights); })) {}
 
   Result<void> start() override {
     BOOST_LEAF_ASSIGN(m_Process.m_Addresses.m_Bulk, m_Agent->listen());
@@ -27,12 +28,12 @@
   void onMessage(const wire::Envelope &Message) override {
     if (!Message.has_weights() || !Message.weights().has_peer_set())
       return;
-    const wire::PeerSet &Given = Message.weights().peer_set();
+    const wire::PeerSet &Received = Message.weights().peer_set();
     std::vector<PeerAddress> Peers;
-    for (const wire::Peer &Each : Given.peers())
+    for (const wire::Peer &Each : Received.peers())
       Peers.push_back({InstanceId{Each.id()}, DataCentreId{Each.data_centre()},
                        Each.bulk_address()});
-    asio::post(m_Io, [Agent = m_Agent, Weights = WeightsId{Given.weights()},
+    asio::post(m_Io, [Agent = m_Agent, Weights = WeightsId{Received.weights()},
                       Peers = std::move(Peers)]() mutable {
       Agent->setPeers(Weights, std::move(Peers));
     });
@@ -43,14 +44,14 @@
   }
 
   boost::json::object dump() const override {
-    std::promise<boost::json::object> Made;
-    asio::post(m_Io, [&] { Made.set_value(m_Agent->dump()); });
-    return Made.get_future().get();
+    std::promise<boost::json::object> DumpResult;
+    asio::post(m_Io, [&] { DumpResult.set_value(m_Agent->dump()); });
+    return DumpResult.get_future().get();
   }
 
 private:
-  /// Asks one entry after the other, any of which may be gone.
-  void askPeers(const WeightsId &Weights) {
+  /// Asks the configured entries in turn, since any of them may be gone.
+  void requestPeers(const WeightsId &Weights) {
     asio::post(m_Process.m_Threads.control(), [this, Weights] {
       const auto &Entries = m_Process.m_Settings.m_Entries;
       wire::Envelope Message;
@@ -67,7 +68,7 @@
   std::size_t m_NextEntry = 0;
 };
 
-/// Answers agents that ask for peers, from what this entry knows.
+/// Answers requests for peers from this entry's membership and declarations.
 class PeersModule final : public Module {
 public:
   explicit PeersModule(Process &In) : m_Process(In) {}
@@ -76,13 +77,14 @@
     if (!Message.has_weights() || !Message.weights().has_peer_request())
       return;
     const auto Members = m_Process.m_Membership.load();
-    const InstanceId Asker{Message.sender()};
-    const auto Found = Members->m_Members.find(Asker);
+    const InstanceId Requester{Message.sender()};
+    const auto Found = Members->m_Members.find(Requester);
     if (Found == Members->m_Members.end())
       return;
     const WeightsId Weights{Message.weights().peer_request().weights()};
-    const auto Chosen = choosePeers(*m_Process.m_Declarations.load(), *Members,
-                                    Asker, Weights, PeersAsked, m_Answered++);
+    const auto Chosen =
+        choosePeers(*m_Process.m_Declarations.load(), *Members, Requester,
+                    Weights, MaxPeersPerAnswer, m_Answered++);
     wire::Envelope Answer;
     wire::PeerSet &Set = *Answer.mutable_weights()->mutable_peer_set();
     Set.set_weights(Weights.m_Text);
@@ -101,7 +103,7 @@
   }
 
 private:
-  static constexpr std::uint32_t PeersAsked = 20;
+  static constexpr std::uint32_t MaxPeersPerAnswer = 20;
 
   Process &m_Process;
   std::uint64_t m_Answered = 0;
--- a/test/weights-copy-test.cc
+++ b/test/weights-copy-test.cc
@@ -17,10 +17,10 @@
 constexpr std::uint32_t Chunks = 8;
 const WeightsId Weights{"m@2"};
 
-/// A copy that calls one peer, which is the test.
-class Copying : public testing::Test {
+/// A copy that connects to one peer, whose side the test plays.
+class WeightsCopyTest : public testing::Test {
 protected:
-  Copying() {
+  WeightsCopyTest() {
     m_Settings.m_Instance.m_Text = "self";
     m_Settings.m_DataCentre.m_Text = "lahore";
     auto Origin = std::make_unique<FakeOrigin>();
@@ -35,12 +35,12 @@
     m_Copy = std::make_shared<WeightsCopy>(m_Context, m_Manifest, Options);
     m_Copy->setInstances({{"self"}});
   }
-  ~Copying() override {
+  ~WeightsCopyTest() override {
     m_Copy->stop();
     m_Context.m_Uplink->stop();
   }
 
-  void callPeer() {
+  void acceptConnection() {
     m_Copy->setPeers({{{"peer"},
                        m_Settings.m_DataCentre,
                        net::formatEndpoint(m_Acceptor.local_endpoint())}});
@@ -54,7 +54,7 @@
   Outcome<net::BulkMessage> read() {
     return m_Loop.await(net::readBulk(m_Peer));
   }
-  void greetBack() {
+  void sendHello() {
     wire::BulkFrame Frame;
     wire::BulkHello &Hello = *Frame.mutable_hello();
     Hello.set_instance("peer");
@@ -82,59 +82,60 @@
   tcp::socket m_Peer{m_Loop.io()};
 };
 
-// An agent held 10 of 12 chunks for more than 60 s, with all
-// peers connected and complete. A caller names what it holds in its hello;
-// what it gained until the answer came was told to those peers that it had
-// then, and never to the one that was answering. That one declined the offers
-// of all these chunks for as long as the connection lasted.
-TEST_F(Copying, TellsAPeerWhatCameWhileItAnswered) {
-  callPeer();
+// Chunks that arrived between the copy's hello and the peer's answer were
+// announced only to peers already connected. The answering peer never learnt of
+// them and declined every offer of them while the connection lasted: an agent
+// stayed at 10 of 12 chunks for more than 60 s, with all peers connected and
+// complete.
+TEST_F(WeightsCopyTest, AnnouncesChunksStagedDuringTheHandshake) {
+  acceptConnection();
   const auto First = read();
   ASSERT_TRUE(First);
-  ChunkSet Told = ChunkSet::fromBytes(Chunks, First->m_Header.hello().here());
-  EXPECT_EQ(Told.count(), 0U);
+  ChunkSet Announced =
+      ChunkSet::fromBytes(Chunks, First->m_Header.hello().here());
+  EXPECT_EQ(Announced.count(), 0U);
   m_Copy->start();
   m_Loop.runUntil([&] { return m_Copy->swarm().complete(); });
-  greetBack();
+  sendHello();
   for (auto Next = read(); Next; Next = read()) {
     for (std::uint32_t Each : Next->m_Header.have().here())
-      Told.insert(Each);
-    // It offers only what the peer knows that it has.
+      Announced.insert(Each);
+    // The copy offers only chunks that it has announced to the peer.
     if (Next->m_Header.has_grant())
       break;
   }
-  EXPECT_EQ(Told.count(), Chunks);
+  EXPECT_EQ(Announced.count(), Chunks);
 }
 
-// A peer that takes the call and never answers, as a machine without power or a
-// stopped process does, kept its place among the connections for ever, and its
-// own calls were refused as long as the one to it seemed to be on its way.
-TEST_F(Copying, HangsUpOnAPeerThatDoesNotAnswer) {
-  callPeer();
+// A peer that accepts the connection and never answers, such as an instance
+// without power or a stopped process, occupied a connection forever, and its
+// own connections were refused while the one to it seemed to be in progress.
+TEST_F(WeightsCopyTest, ClosesConnectionsToPeersThatDoNotAnswer) {
+  acceptConnection();
   ASSERT_TRUE(read());
   EXPECT_FALSE(read());
 }
 
 class SilentEngine final : public FakeEngine {
 public:
-  explicit SilentEngine(std::uint32_t &Asked) : FakeEngine(1), m_Asked(Asked) {}
+  explicit SilentEngine(std::uint32_t &Reads) : FakeEngine(1), m_Reads(Reads) {}
 
   net::asio::awaitable<Outcome<std::string>> staged(WeightsId,
                                                     std::uint32_t) override {
-    ++m_Asked;
+    ++m_Reads;
     co_return Error{ErrorCode::Timeout, "no answer"};
   }
 
 private:
-  std::uint32_t &m_Asked;
+  std::uint32_t &m_Reads;
 };
 
-// Staging is read before a copy begins. An instance that takes connections and
-// does not answer costs some seconds for each chunk, and nothing was copied
-// from anywhere meanwhile.
-TEST_F(Copying, AsksAnInstanceThatDoesNotAnswerForAFewChunksOnly) {
-  std::uint32_t Asked = 0;
-  m_Context.m_Engine = std::make_unique<SilentEngine>(Asked);
+// Staging is read before a copy begins. An instance that accepts connections
+// and does not answer cost some seconds for each chunk, during which nothing
+// was copied from elsewhere.
+TEST_F(WeightsCopyTest, StopsReadingStagingOfAnUnresponsiveEngine) {
+  std::uint32_t Reads = 0;
+  m_Context.m_Engine = std::make_unique<SilentEngine>(Reads);
   EngineStatus Staged;
   Staged.m_Staging.push_back({Weights, {}});
   for (std::uint32_t I = 0; I < Chunks; ++I)
@@ -144,8 +145,8 @@
     co_return true;
   };
   EXPECT_TRUE(m_Loop.await(Run()));
-  EXPECT_GE(Asked, 1U);
-  EXPECT_LE(Asked, 3U);
+  EXPECT_GE(Reads, 1U);
+  EXPECT_LE(Reads, 3U);
 }
 
 } // namespace
