--- a/src/daemon/assigner.cc
+++ b/src/daemon/assigner.cc
@@ -1,4 +1,4 @@
-// The entries' module "assigner": decides which instance serves which pool.
+// The module "assigner" of entries, which assigns instances to pools.
 #include "daemon/clock.h"
 #include "daemon/lease-keeper.h"
 #include "daemon/module.h"
@@ -63,26 +63,27 @@
   void onLease(bool Held) {
     if (!Held)
       return;
-    m_HeldSince = now();
-    m_MustFence = true;
+    m_LeaseHeldSince = now();
+    m_FencePending = true;
     net::log(Event::AssignerChanged, {{"term", m_Lease.term()}});
   }
 
-  /// Plans from the snapshot; the write holds only if the assignment is still
-  /// at the snapshot's revision, whoever else decides.
+  /// Plans an assignment from the current snapshot. The write succeeds only if
+  /// the stored assignment still has the snapshot's revision, so a concurrent
+  /// writer causes a conflict.
   asio::awaitable<void> plan() {
     const auto Declarations = m_Process.m_Declarations.load();
     const auto Members = m_Process.m_Membership.load();
     const Declared<Assignment> &Before = Declarations->m_Assignment;
-    if (Before.m_Revision < m_WrittenAt)
+    if (Before.m_Revision < m_WrittenRevision)
       co_return;
-    if (!mayPlan(Before.m_Value, *Members, now() - m_HeldSince))
+    if (!mayPlan(Before.m_Value, *Members, now() - m_LeaseHeldSince))
       co_return;
     const Assignment Next = planAssignment(*Declarations, *Members);
-    // A new holder moves the object even when nothing changes, so that what
-    // an earlier holder still has in hand meets a conflict.
-    const bool Fences = m_MustFence && Before.m_Revision.m_Value != 0;
-    if (Next == Before.m_Value && !Fences)
+    // A new lease holder writes the object even if nothing changes, so that a
+    // write still in progress at an earlier holder fails with a conflict.
+    const bool NeedsFence = m_FencePending && Before.m_Revision.m_Value != 0;
+    if (Next == Before.m_Value && !NeedsFence)
       co_return;
     if (!m_Lease.held())
       co_return;
@@ -91,8 +92,8 @@
       m_LastError = Written.error().m_Message;
       co_return;
     }
-    m_WrittenAt = *Written;
-    m_MustFence = false;
+    m_WrittenRevision = *Written;
+    m_FencePending = false;
     ++m_Written;
     net::log(Event::AssignmentWritten,
              {{"revision", Written->m_Value},
@@ -113,11 +114,11 @@
   const std::unique_ptr<net::Platform> m_Platform;
   LeaseKeeper m_Lease;
   asio::steady_timer m_Timer;
-  TimePoint m_HeldSince{};
-  Revision m_WrittenAt;
+  TimePoint m_LeaseHeldSince{};
+  Revision m_WrittenRevision;
   std::uint64_t m_Written = 0;
   std::string m_LastError;
-  bool m_MustFence = false;
+  bool m_FencePending = false;
   bool m_Stopped = false;
 };
 
--- a/src/daemon/lease-keeper.cc
+++ b/src/daemon/lease-keeper.cc
@@ -16,10 +16,10 @@
 namespace {
 
 constexpr const char *LeasesKind = "leases";
-/// Entries that read a lease's object and stand ready to take over.
+/// Entries that read a lease's object and may take over.
 constexpr std::size_t CandidatesPerLease = 3;
-/// Loss of the lease is noticed and told at least so soon.
-constexpr std::chrono::milliseconds LongestSleep{500};
+/// Bounds the time until the loss of the lease is noticed and reported.
+constexpr std::chrono::milliseconds MaxSleep{500};
 
 } // namespace
 
@@ -55,7 +55,7 @@
   return std::find(Chosen.begin(), Chosen.end(), Self) != Chosen.end();
 }
 
-void LeaseKeeper::noteChange() {
+void LeaseKeeper::reportChange() {
   const bool Held = held();
   if (Held == m_WasHeld)
     return;
@@ -69,7 +69,7 @@
 asio::awaitable<void> LeaseKeeper::run() {
   while (!m_Stopping) {
     const Lease::Step Step = m_Lease.next(now(), isCandidate());
-    noteChange();
+    reportChange();
     switch (Step.m_Kind) {
     case Lease::Step::Kind::Wait:
       co_await waitUntil(Step.m_At);
@@ -82,28 +82,28 @@
       co_await write(Step);
       break;
     }
-    noteChange();
+    reportChange();
   }
 }
 
 asio::awaitable<void> LeaseKeeper::waitUntil(TimePoint At) {
-  m_Timer.expires_after(std::min<Duration>(At - now(), LongestSleep));
+  m_Timer.expires_after(std::min<Duration>(At - now(), MaxSleep));
   co_await m_Timer.async_wait(asio::as_tuple(asio::use_awaitable));
 }
 
 asio::awaitable<void> LeaseKeeper::read() {
-  const auto Got = co_await m_Process.m_Platform.get(LeasesKind, m_Name);
-  if (!Got && Got.error().m_Code == ErrorCode::NotFound) {
+  const auto Fetched = co_await m_Process.m_Platform.get(LeasesKind, m_Name);
+  if (!Fetched && Fetched.error().m_Code == ErrorCode::NotFound) {
     m_Lease.onRead(now(), {}, std::nullopt);
     co_return;
   }
-  if (!Got) {
+  if (!Fetched) {
     m_Lease.onUnread(now());
     co_return;
   }
-  const auto Parsed = outcomeOf([&] { return parseLease(Got->m_Json); });
+  const auto Parsed = outcomeOf([&] { return parseLease(Fetched->m_Json); });
   if (Parsed)
-    m_Lease.onRead(now(), Got->m_Revision, *Parsed);
+    m_Lease.onRead(now(), Fetched->m_Revision, *Parsed);
   else
     m_Lease.onUnread(now());
 }
@@ -111,15 +111,15 @@
 asio::awaitable<void> LeaseKeeper::write(Lease::Step Step) {
   // Named objects: GCC 12 destroys temporaries of a co_await twice.
   std::string Json = formatLease(Step.m_Record);
-  Outcome<Revision> Wrote = Revision();
+  Outcome<Revision> Written = Revision();
   if (Step.m_Kind == Lease::Step::Kind::Create)
-    Wrote = co_await m_Process.m_Platform.create(LeasesKind, m_Name, Json);
+    Written = co_await m_Process.m_Platform.create(LeasesKind, m_Name, Json);
   else {
     net::PlatformObject Object{LeasesKind, m_Name, Step.m_Expected, Json};
-    Wrote = co_await m_Process.m_Platform.update(std::move(Object));
+    Written = co_await m_Process.m_Platform.update(std::move(Object));
   }
-  if (Wrote)
-    m_Lease.onWritten(Step.m_At, *Wrote);
+  if (Written)
+    m_Lease.onWritten(Step.m_At, *Written);
   else
     m_Lease.onUnwritten(now());
 }
--- a/src/daemon/lease-keeper.h
+++ b/src/daemon/lease-keeper.h
@@ -1,4 +1,4 @@
-// Runs one lease of an entry against the platform.
+// Acquires and renews a lease of an entry on the platform.
 #pragma once
 
 #include "daemon/module.h"
@@ -13,21 +13,21 @@
 
 namespace deckpitch::daemon {
 
-/// Keeps the object leases/<name>; lives on the control loop. Of all entries
-/// only a few, the same few at each, read the object and stand ready, so the
-/// calls do not grow with the fleet. How to use it for a job:
+/// Acquires and renews the lease stored as the object leases/<name>. Runs on
+/// the control loop. All entries agree on a few candidates, and only these read
+/// the object, so that the number of calls does not grow with the fleet. Usage:
 ///
 ///   LeaseKeeper Keeper(Process, "assigner");
 ///   Keeper.start();                  // in Module::start()
 ///   if (!Keeper.held()) return;      // before each piece of work
 ///   const uint64_t Term = Keeper.term();
-///   ... read the object that the job writes; when the term is new, write it
-///   once unchanged (conditional update), so that what an earlier holder still
-///   has in hand meets a conflict ...
+///   ... read the object that the job writes; in a new term, write it once
+///   unchanged (conditional update), so that a write still in progress at an
+///   earlier holder fails with a conflict ...
 ///   if (Keeper.held()) co_await Platform.update(...);  // conditional, always
 ///   Keeper.stop();                   // in Module::stop()
 ///
-/// beginDrain() gives the lease back, so that another takes over at once.
+/// beginDrain() releases the lease, so that another entry takes over at once.
 class LeaseKeeper {
 public:
   LeaseKeeper(Process &In, std::string Name, LeaseLimits Limits = {});
@@ -35,12 +35,12 @@
   void start();
   void beginDrain();
   void stop();
-  /// True while this process alone may do the job.
+  /// True while this process, and no other, may do the job.
   bool held() const;
-  /// Grows at each change of holder.
+  /// Increases with each change of holder.
   std::uint64_t term() const { return m_Lease.term(); }
   boost::json::object dump() const;
-  /// Called on the control loop when the lease is won or seen to be lost.
+  /// Called on the control loop when the lease is acquired or found to be lost.
   std::function<void(bool Held)> m_OnChange;
 
 private:
@@ -49,7 +49,7 @@
   boost::asio::awaitable<void> write(Lease::Step Step);
   boost::asio::awaitable<void> waitUntil(TimePoint At);
   bool isCandidate() const;
-  void noteChange();
+  void reportChange();
 
   Process &m_Process;
   const std::string m_Name;
