--- a/src/daemon/membership-agent.cc
+++ b/src/daemon/membership-agent.cc
@@ -15,14 +15,14 @@
 
 namespace {
 
-/// Entries that an agent keeps in mind beside those it speaks to.
+/// Entries that an agent remembers at most.
 constexpr std::size_t MaxKnownEntries = 32;
-/// How many times in a heartbeat period the agent looks for a change of its
-/// own state that is worth an early heartbeat.
-constexpr int LooksPerHeartbeat = 5;
+/// How many times per heartbeat period the agent checks whether a change of its
+/// own state requires an early heartbeat.
+constexpr int ChecksPerHeartbeat = 5;
 
-/// Sends heartbeats to two entries and learns from their answers which entries
-/// there are, so that a replaced set of entries is followed.
+/// Sends heartbeats to two entries and discovers other entries from the
+/// replies, so that the agent keeps up when all entries are replaced.
 class AgentMembership final : public Module {
 public:
   explicit AgentMembership(Process &In)
@@ -41,12 +41,12 @@
     if (Body.has_reply())
       onReply(InstanceId{Message.sender()}, Body.reply());
     else if (Body.has_heartbeat())
-      onEntry(Message, Body.heartbeat());
+      onEntryHeartbeat(Message, Body.heartbeat());
     else if (Body.has_update())
-      leaveIfTold(m_Process, Body.update());
+      drainIfLeaving(m_Process, Body.update());
   }
 
-  void beginDrain() override { beat(); }
+  void beginDrain() override { sendHeartbeats(); }
   void stop() override {
     m_Stopping = true;
     m_Timer.cancel();
@@ -58,7 +58,7 @@
       Entries.push_back(boost::json::object{
           {"instance", Id.m_Text},
           {"control", Of.m_Record.m_Member.m_Addresses.m_Control},
-          {"answers", answers(Of)}});
+          {"answers", isResponsive(Of)}});
     boost::json::array Chosen;
     for (const InstanceId &Each : m_Chosen)
       Chosen.emplace_back(Each.m_Text);
@@ -70,47 +70,48 @@
 private:
   struct KnownEntry {
     MemberRecord m_Record;
-    TimePoint m_Asked;    ///< first heartbeat since the last answer
-    TimePoint m_Answered; ///< last sign of life
-    bool m_Waiting = false;
+    TimePoint m_FirstUnanswered; ///< first heartbeat since the last reply
+    TimePoint m_LastReply;       ///< last reply
+    bool m_AwaitsReply = false;
   };
 
   asio::awaitable<void> run() {
     const auto Period = m_Process.m_Settings.m_Membership.m_Heartbeat;
-    int Look = 0;
+    int Check = 0;
     while (!m_Stopping) {
-      if (Look++ % LooksPerHeartbeat == 0 || changed())
-        beat();
-      m_Timer.expires_after(Period / LooksPerHeartbeat);
+      if (Check++ % ChecksPerHeartbeat == 0 || hasChanged())
+        sendHeartbeats();
+      m_Timer.expires_after(Period / ChecksPerHeartbeat);
       co_await m_Timer.async_wait(asio::as_tuple(asio::use_awaitable));
     }
   }
 
-  bool changed() const {
+  bool hasChanged() const {
     return m_Process.m_Serving.generation() != m_ServingSeen ||
            m_Process.m_Declarations.generation() != m_DeclarationsSeen;
   }
 
-  void beat() {
+  void sendHeartbeats() {
     m_ServingSeen = m_Process.m_Serving.generation();
     m_DeclarationsSeen = m_Process.m_Declarations.generation();
     if (m_Writer.advance())
       publish();
-    choose();
+    chooseTargets();
     for (const InstanceId &Each : m_Chosen) {
       KnownEntry &Of = m_Entries[Each];
-      if (!Of.m_Waiting)
-        Of.m_Asked = now();
-      Of.m_Waiting = true;
+      if (!Of.m_AwaitsReply)
+        Of.m_FirstUnanswered = now();
+      Of.m_AwaitsReply = true;
       send(Each, Of.m_Record.m_Member.m_Addresses.m_Control,
            Each == m_Chosen.front());
     }
     if (m_Chosen.size() < WatchersPerProcess)
-      askSeed();
+      contactSeed();
   }
 
-  /// Entries from the settings, in turn, while too few are known to answer.
-  void askSeed() {
+  /// Contacts the entries from the settings in turn while too few known entries
+  /// respond.
+  void contactSeed() {
     const auto &Seeds = m_Process.m_Settings.m_Entries;
     const std::string &Seed = Seeds[m_NextSeed++ % Seeds.size()];
     send(InstanceId{Seed}, Seed, m_Chosen.empty());
@@ -124,78 +125,82 @@
     m_Process.m_Bus->send(Address, std::move(Message));
   }
 
-  bool answers(const KnownEntry &Of) const {
-    return !Of.m_Waiting ||
-           now() - Of.m_Asked <
+  bool isResponsive(const KnownEntry &Of) const {
+    return !Of.m_AwaitsReply ||
+           now() - Of.m_FirstUnanswered <
                m_Process.m_Settings.m_Membership.m_SuspectAfter;
   }
 
-  void choose() {
-    forgetSilent();
+  void chooseTargets() {
+    dropUnresponsive();
     std::vector<EntryCandidate> Candidates;
     for (const auto &[Id, Of] : m_Entries)
-      if (answers(Of))
+      if (isResponsive(Of))
         Candidates.push_back({Id, Of.m_Record.m_Member.m_DataCentre});
     const Settings &Own = m_Process.m_Settings;
     m_Chosen =
         chooseEntries(Own.m_Instance, Own.m_DataCentre, std::move(Candidates));
   }
 
-  /// One that stopped answering gets a new chance after a while.
-  void forgetSilent() {
+  /// Drops entries that stopped responding; they may be discovered again.
+  void dropUnresponsive() {
     const Duration Limit = m_Process.m_Settings.m_Membership.m_GoneAfter;
     std::erase_if(m_Entries, [&](const auto &Each) {
-      return Each.second.m_Waiting && now() - Each.second.m_Asked > Limit;
+      return Each.second.m_AwaitsReply &&
+             now() - Each.second.m_FirstUnanswered > Limit;
     });
   }
 
   void onReply(const InstanceId &From, const wire::HeartbeatReply &Reply) {
-    m_Writer.replied(From, Reply);
-    bool News = false;
+    m_Writer.handleReply(From, Reply);
+    bool Changed = false;
     for (const wire::Member &Each : Reply.entries())
-      News = learn(fromWire(Each)) || News;
+      Changed = updateEntry(fromWire(Each)) || Changed;
     const auto Found = m_Entries.find(From);
     if (Found != m_Entries.end()) {
-      Found->second.m_Waiting = false;
-      Found->second.m_Answered = now();
+      Found->second.m_AwaitsReply = false;
+      Found->second.m_LastReply = now();
     }
-    if (News)
+    if (Changed)
       publish();
   }
 
-  /// An entry that this agent does not know yet introduces itself.
-  void onEntry(const wire::Envelope &Message, const wire::Heartbeat &Beat) {
+  /// Handles a full heartbeat of an entry, which may be unknown to this agent.
+  void onEntryHeartbeat(const wire::Envelope &Message,
+                        const wire::Heartbeat &Beat) {
     if (!Beat.has_member() || Beat.member().id() != Message.sender())
       return;
-    if (learn(fromWire(Beat.member())))
+    if (updateEntry(fromWire(Beat.member())))
       publish();
   }
 
-  bool learn(const MemberRecord &Record) {
-    const Member &Told = Record.m_Member;
-    if (Told.m_Role != Role::Entry || Told.m_Id.empty())
+  bool updateEntry(const MemberRecord &Record) {
+    const Member &Reported = Record.m_Member;
+    if (Reported.m_Role != Role::Entry || Reported.m_Id.empty())
       return false;
-    if (Told.m_State == MemberState::Gone) {
-      const auto Found = m_Entries.find(Told.m_Id);
-      const bool Known =
-          Found != m_Entries.end() &&
-          Found->second.m_Record.m_Member.m_Incarnation <= Told.m_Incarnation;
-      return Known && !answersNow(Found->second) && m_Entries.erase(Told.m_Id);
+    if (Reported.m_State == MemberState::Gone) {
+      const auto Found = m_Entries.find(Reported.m_Id);
+      const bool Known = Found != m_Entries.end() &&
+                         Found->second.m_Record.m_Member.m_Incarnation <=
+                             Reported.m_Incarnation;
+      return Known && !hasReplied(Found->second) &&
+             m_Entries.erase(Reported.m_Id);
     }
-    if (!m_Entries.contains(Told.m_Id) && m_Entries.size() >= MaxKnownEntries)
+    if (!m_Entries.contains(Reported.m_Id) &&
+        m_Entries.size() >= MaxKnownEntries)
       return false;
-    KnownEntry &Of = m_Entries[Told.m_Id];
+    KnownEntry &Of = m_Entries[Reported.m_Id];
     const Member Before = Of.m_Record.m_Member;
-    if (Told.m_Incarnation > Before.m_Incarnation)
+    if (Reported.m_Incarnation > Before.m_Incarnation)
       Of = {};
-    if (Told.m_Incarnation >= Before.m_Incarnation)
+    if (Reported.m_Incarnation >= Before.m_Incarnation)
       Of.m_Record = Record;
     return Of.m_Record.m_Member != Before;
   }
 
-  bool answersNow(const KnownEntry &Of) const { return !Of.m_Waiting; }
+  bool hasReplied(const KnownEntry &Of) const { return !Of.m_AwaitsReply; }
 
-  /// The agent's view: itself and the entries that it knows.
+  /// Publishes the agent's view: itself and the entries that it knows.
   void publish() {
     auto View = std::make_shared<MembershipView>();
     View->m_Members.emplace(m_Process.m_Settings.m_Instance, selfOf(m_Process));
--- a/src/daemon/membership-entry.cc
+++ b/src/daemon/membership-entry.cc
@@ -16,23 +16,26 @@
 
 namespace {
 
-/// Records in one message to another entry; bounds the bytes for each period.
+/// Records per message to another entry; bounds the bytes sent per heartbeat.
 constexpr std::size_t ChangesPerMessage = 20;
-/// Entries that an agent is told of; a few more than it speaks to.
-constexpr std::size_t EntriesToldToAgents = 8;
-/// Heartbeats between two attempts to reach an address from the settings that
-/// no known member has.
-constexpr std::uint64_t SeedEvery = 5;
-/// Heartbeats with a differing view before everything is exchanged.
+/// Entries sent to an agent; a few more than it sends heartbeats to.
+constexpr std::size_t EntriesPerReply = 8;
+/// Heartbeats between two attempts to contact addresses from the settings that
+/// belong to no known member.
+constexpr std::uint64_t HeartbeatsPerSeedContact = 5;
+/// Consecutive heartbeats with a differing view before all records are
+/// exchanged.
 constexpr unsigned DifferencesBeforeExchange = 3;
 constexpr std::chrono::milliseconds PublishDelay{10};
-/// The platform's list is read so often, by the one entry that follows it.
-constexpr std::chrono::seconds ListEvery{2};
-/// Addresses that the platform remembers are greeted this often after a start.
-constexpr std::uint64_t RememberedGreetings = 3 * SeedEvery;
-
-/// Hears heartbeats, exchanges records with a few other entries and publishes
-/// the joined view.
+/// How often the one entry that follows the platform reads its instance list.
+constexpr std::chrono::seconds ListInterval{2};
+/// Heartbeats after a start during which addresses remembered by the platform
+/// are contacted.
+constexpr std::uint64_t RememberedAddressHeartbeats =
+    3 * HeartbeatsPerSeedContact;
+
+/// Receives heartbeats, exchanges records with a few other entries and
+/// publishes the merged view.
 class EntryMembership final : public Module {
 public:
   explicit EntryMembership(Process &In)
@@ -56,14 +59,14 @@
     if (Body.has_heartbeat())
       onHeartbeat(Message, Body.heartbeat());
     else if (Body.has_reply())
-      m_Writer.replied(InstanceId{Message.sender()}, Body.reply());
+      m_Writer.handleReply(InstanceId{Message.sender()}, Body.reply());
     else if (Body.has_update())
       onUpdate(Body.update());
     else if (Body.has_question())
       onQuestion(Body.question());
   }
 
-  void beginDrain() override { beat(); }
+  void beginDrain() override { sendHeartbeats(); }
   void stop() override {
     m_Stopping = true;
     m_Timer.cancel();
@@ -92,7 +95,7 @@
   asio::awaitable<void> run() {
     const auto Period = m_Process.m_Settings.m_Membership.m_Heartbeat;
     while (!m_Stopping) {
-      beat();
+      sendHeartbeats();
       m_Timer.expires_after(Period);
       co_await m_Timer.async_wait(asio::as_tuple(asio::use_awaitable));
     }
@@ -100,7 +103,7 @@
 
   asio::awaitable<void> listLoop() {
     while (!m_Stopping) {
-      m_ListTimer.expires_after(ListEvery);
+      m_ListTimer.expires_after(ListInterval);
       co_await m_ListTimer.async_wait(asio::as_tuple(asio::use_awaitable));
       if (m_Stopping || !m_Process.m_FollowsPlatform.load())
         continue;
@@ -118,19 +121,19 @@
     }
   }
 
-  void beat() {
+  void sendHeartbeats() {
     m_Writer.advance();
     m_Table->setSelf(m_Writer.member(), m_Writer.sequence());
     for (const SilenceQuestion &Each : m_Table->tick(now()))
-      ask(Each);
+      askWatchers(Each);
     for (const InstanceId &Each : targets())
       sendTo(Each);
-    if (m_Writer.sequence() % SeedEvery == 1)
-      greetSeeds();
+    if (m_Writer.sequence() % HeartbeatsPerSeedContact == 1)
+      contactSeeds();
     publishSoon();
   }
 
-  /// The entries that watch this one, and another one by chance.
+  /// Returns the entries that watch this one and one other, chosen at random.
   std::vector<InstanceId> targets() {
     std::vector<InstanceId> Chosen = m_Table->watchersOf(m_Writer.member());
     std::vector<EntryCandidate> Others = m_Table->entries();
@@ -176,18 +179,18 @@
     m_Process.m_Bus->send(Address, std::move(Message));
   }
 
-  /// Addresses from the settings find others at the start, and join two sets
-  /// of entries that do not know of each other.
-  void greetSeeds() {
+  /// Contacts unknown addresses from the settings, which finds other entries at
+  /// the start and joins sets of entries that do not know of each other.
+  void contactSeeds() {
     for (const std::string &Seed : m_Process.m_Settings.m_Entries)
-      greet(Seed);
-    if (m_Writer.sequence() > RememberedGreetings)
+      contactIfUnknown(Seed);
+    if (m_Writer.sequence() > RememberedAddressHeartbeats)
       return;
     for (const std::string &Each : *m_Process.m_RememberedAddresses.load())
-      greet(Each);
+      contactIfUnknown(Each);
   }
 
-  void greet(const std::string &Address) {
+  void contactIfUnknown(const std::string &Address) {
     if (Address != m_Process.m_Addresses.m_Control && !knowsAddress(Address))
       sendHeartbeat(InstanceId{Address}, Address);
   }
@@ -200,7 +203,7 @@
                        });
   }
 
-  void ask(const SilenceQuestion &About) {
+  void askWatchers(const SilenceQuestion &About) {
     for (const InstanceId &Each : About.m_Watchers) {
       wire::Envelope Message;
       auto *Question = Message.mutable_membership()->mutable_question();
@@ -219,12 +222,12 @@
   }
 
   void onUpdate(const wire::MemberUpdate &Update) {
-    leaveIfTold(m_Process, Update);
-    bool News = false;
+    drainIfLeaving(m_Process, Update);
+    bool Changed = false;
     for (const wire::Member &Each : Update.members())
       if (!Each.id().empty())
-        News = m_Table->merge(now(), fromWire(Each)) || News;
-    if (News)
+        Changed = m_Table->merge(now(), fromWire(Each)) || Changed;
+    if (Changed)
       publishSoon();
   }
 
@@ -258,31 +261,32 @@
     Reply->set_address(m_Process.m_Addresses.m_Control);
     const MemberRecord *Sender = m_Table->find(To);
     if (Sender && Sender->m_Member.m_Role == Role::Agent)
-      tellEntries(*Sender, Beat.has_member(), *Reply);
+      addNearestEntries(*Sender, Beat.has_member(), *Reply);
     m_Process.m_Bus->send(Beat.address(), std::move(Message));
-    // Told at each heartbeat: one that is lost delays the drain by a period.
+    // Repeated with each heartbeat, so that a lost message delays the drain by
+    // only one period.
     if (Sender && m_Table->leavingLife(To).m_Value != 0)
       sendRecords(Beat.address(), {*Sender});
   }
 
-  /// An agent is told its nearest entries when they change for it, and with
-  /// each whole heartbeat.
-  void tellEntries(const MemberRecord &Agent, bool Whole,
-                   wire::HeartbeatReply &Reply) {
+  /// Adds the agent's nearest entries, and those sent before that are gone
+  /// since, if the nearest have changed or the agent sent a full heartbeat.
+  void addNearestEntries(const MemberRecord &Agent, bool IsFull,
+                         wire::HeartbeatReply &Reply) {
     const Member &To = Agent.m_Member;
-    const std::vector<InstanceId> Near = chooseEntries(
-        To.m_Id, To.m_DataCentre, m_Table->entries(), EntriesToldToAgents);
-    std::vector<InstanceId> &Told = m_Told[To.m_Id];
-    if (!Whole && Told == Near)
+    const std::vector<InstanceId> Nearest = chooseEntries(
+        To.m_Id, To.m_DataCentre, m_Table->entries(), EntriesPerReply);
+    std::vector<InstanceId> &LastSent = m_SentEntries[To.m_Id];
+    if (!IsFull && LastSent == Nearest)
       return;
-    for (const InstanceId &Each : Near)
+    for (const InstanceId &Each : Nearest)
       if (const MemberRecord *Found = m_Table->find(Each))
         *Reply.add_entries() = toWire(*Found);
-    for (const InstanceId &Before : Told)
+    for (const InstanceId &Before : LastSent)
       if (const MemberRecord *Found = m_Table->find(Before);
           Found && Found->m_Member.m_State == MemberState::Gone)
         *Reply.add_entries() = toWire(*Found);
-    Told = Near;
+    LastSent = Nearest;
   }
 
   void compareViews(const InstanceId &From, const wire::Heartbeat &Beat) {
@@ -325,7 +329,7 @@
   asio::steady_timer m_ListTimer;
   std::mt19937_64 m_Random;
   std::optional<MembershipTable> m_Table;
-  std::map<InstanceId, std::vector<InstanceId>> m_Told;
+  std::map<InstanceId, std::vector<InstanceId>> m_SentEntries;
   std::map<InstanceId, unsigned> m_Differences;
   bool m_PublishPending = false;
   bool m_Stopping = false;
--- a/src/daemon/membership-self.cc
+++ b/src/daemon/membership-self.cc
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// A whole heartbeat at least so often, in heartbeats.
-constexpr std::uint64_t WholeEvery = 30;
+/// Heartbeats after which a full one is sent at the latest.
+constexpr std::uint64_t FullHeartbeatInterval = 30;
 
 Member withoutLoad(Member Value) {
   Value.m_Load = {};
@@ -37,12 +37,12 @@
   return Self;
 }
 
-void leaveIfTold(const Process &In, const wire::MemberUpdate &Update) {
+void drainIfLeaving(const Process &In, const wire::MemberUpdate &Update) {
   for (const wire::Member &Each : Update.members()) {
-    const Member Told = fromWire(Each).m_Member;
-    if (Told.m_Id == In.m_Settings.m_Instance &&
-        Told.m_Incarnation == In.m_Incarnation &&
-        Told.m_State == MemberState::Leaving && !In.m_Leaving.load())
+    const Member Reported = fromWire(Each).m_Member;
+    if (Reported.m_Id == In.m_Settings.m_Instance &&
+        Reported.m_Incarnation == In.m_Incarnation &&
+        Reported.m_State == MemberState::Leaving && !In.m_Leaving.load())
       In.m_StartDrain("member");
   }
 }
@@ -66,9 +66,10 @@
   Beat.set_declarations_digest(DeclarationsDigest);
   Beat.set_address(m_Member.m_Addresses.m_Control);
   Sent &Of = m_Sent[Receiver];
-  const std::uint64_t Known = Of.m_Acknowledged;
-  if (Known == 0 || Known < m_ChangedAt || m_Sequence - Known >= WholeEvery) {
-    Of.m_Whole = m_Sequence;
+  const std::uint64_t Acknowledged = Of.m_LastAcknowledged;
+  if (Acknowledged == 0 || Acknowledged < m_ChangedAt ||
+      m_Sequence - Acknowledged >= FullHeartbeatInterval) {
+    Of.m_LastFull = m_Sequence;
     *Beat.mutable_member() = toWire({m_Member, m_Sequence});
     return Out;
   }
@@ -78,13 +79,13 @@
   return Out;
 }
 
-void HeartbeatWriter::replied(const InstanceId &Receiver,
-                              const wire::HeartbeatReply &Reply) {
+void HeartbeatWriter::handleReply(const InstanceId &Receiver,
+                                  const wire::HeartbeatReply &Reply) {
   Sent &Of = m_Sent[Receiver];
   if (Reply.send_whole())
     Of = {};
-  else if (Reply.sequence() >= Of.m_Whole)
-    Of.m_Acknowledged = std::max(Of.m_Acknowledged, Of.m_Whole);
+  else if (Reply.sequence() >= Of.m_LastFull)
+    Of.m_LastAcknowledged = std::max(Of.m_LastAcknowledged, Of.m_LastFull);
 }
 
 } // namespace deckpitch::daemon
--- a/src/daemon/membership-self.h
+++ b/src/daemon/membership-self.h
@@ -1,4 +1,4 @@
-// What a process says of itself in its heartbeats.
+// The state that a process reports of itself in its heartbeats.
 #pragma once
 
 #include "daemon/module.h"
@@ -6,25 +6,29 @@
 
 namespace deckpitch::daemon {
 
-/// The process's own member as of now.
+/// Returns the process's own member in its current state.
 Member selfOf(const Process &In);
 
-/// Starts the drain if a record says that this life of the process leaves.
-void leaveIfTold(const Process &In, const wire::MemberUpdate &Update);
+/// Starts the drain if a record marks this incarnation of the process as
+/// leaving.
+void drainIfLeaving(const Process &In, const wire::MemberUpdate &Update);
 
-/// Numbers heartbeats and decides which are sent whole: when something changed
-/// that is worth it, and now and then.
+/// Numbers heartbeats. They are sent in full until the receiver has
+/// acknowledged the latest change other than of the load and the declarations
+/// in force, and again at regular intervals; the others are sent in short form.
 class HeartbeatWriter {
 public:
   explicit HeartbeatWriter(const Process &In) : m_In(In) {}
 
-  /// Starts the next heartbeat; true when the member changed.
+  /// Starts the next heartbeat. Returns true if the member changed, apart from
+  /// its load and the declarations in force.
   bool advance();
-  /// The current heartbeat for that receiver.
+  /// Returns the current heartbeat for the receiver.
   wire::MembershipMessage messageFor(const InstanceId &Receiver,
                                      std::uint64_t DeclarationsDigest);
-  /// The receiver answered; what it acknowledges need not be sent whole again.
-  void replied(const InstanceId &Receiver, const wire::HeartbeatReply &Reply);
+  /// Handles a reply. Full heartbeats are not repeated once acknowledged.
+  void handleReply(const InstanceId &Receiver,
+                   const wire::HeartbeatReply &Reply);
   const Member &member() const { return m_Member; }
   std::uint64_t sequence() const { return m_Sequence; }
 
@@ -34,8 +38,8 @@
   std::uint64_t m_Sequence = 0;
   std::uint64_t m_ChangedAt = 0;
   struct Sent {
-    std::uint64_t m_Whole = 0;        ///< last sequence sent whole
-    std::uint64_t m_Acknowledged = 0; ///< last whole one that was answered
+    std::uint64_t m_LastFull = 0;         ///< sequence of the last full one
+    std::uint64_t m_LastAcknowledged = 0; ///< last full one acknowledged
   };
   std::map<InstanceId, Sent> m_Sent;
 };
--- a/src/daemon/membership-wire.cc
+++ b/src/daemon/membership-wire.cc
@@ -30,7 +30,7 @@
   Out.set_condition(Value.m_Condition);
 }
 
-/// A state of a newer release counts as the mildest one.
+/// Maps unknown states, which a newer release may send, to Alive.
 MemberState stateOf(std::uint32_t Number) {
   if (Number > static_cast<std::uint32_t>(MemberState::Gone))
     return MemberState::Alive;
--- a/src/daemon/membership-wire.h
+++ b/src/daemon/membership-wire.h
@@ -1,4 +1,4 @@
-// Members and heartbeats to and from their wire form.
+// Conversion of members and load reports to and from their wire form.
 #pragma once
 
 #include "deckpitch/membership-table.h"
