--- a/src/daemon/declarations-agent.cc
+++ b/src/daemon/declarations-agent.cc
@@ -9,7 +9,8 @@
 
 namespace {
 
-/// Learns the declarations from the entries that hear the agent's heartbeats.
+/// Receives the declarations from the entries to which the agent sends
+/// heartbeats.
 class AgentDeclarations final : public Module {
 public:
   explicit AgentDeclarations(Process &In)
--- a/src/daemon/declarations-entry.cc
+++ b/src/daemon/declarations-entry.cc
@@ -16,19 +16,22 @@
 
 namespace {
 
-/// A change that nobody spreads is found by the next holder this much later.
-constexpr LeaseLimits WatchLease{std::chrono::milliseconds(6'000),
-                                 std::chrono::milliseconds(1'500)};
-/// Entries that a change is sent to at once; each passes it on.
-constexpr std::size_t EntriesPerChange = 4;
-
-/// Follows the platform and passes changes on to agents and other entries.
+/// The term of the lease bounds the delay until its next holder finds a change
+/// that the last one did not distribute.
+constexpr LeaseLimits WatchLeaseLimits{std::chrono::milliseconds(6'000),
+                                       std::chrono::milliseconds(1'500)};
+/// Entries to which a change is sent at once; each forwards it.
+constexpr std::size_t MaxEntriesPerChange = 4;
+
+/// Follows the platform and distributes changes to agents and other entries.
 class EntryDeclarations final : public Module {
 public:
   explicit EntryDeclarations(Process &In)
-      : m_Process(In),
-        m_Exchange(In, [this](const DeclarationUpdate &News) { spread(News); }),
-        m_Follower(In, m_Exchange), m_Lease(In, "watch", WatchLease),
+      : m_Process(In), m_Exchange(In,
+                                  [this](const DeclarationUpdate &Update) {
+                                    distribute(Update);
+                                  }),
+        m_Follower(In, m_Exchange), m_Lease(In, "watch", WatchLeaseLimits),
         m_Status(In, m_Lease), m_Random(std::random_device{}()) {
     m_Lease.m_OnChange = [this](bool Held) {
       m_Process.m_FollowsPlatform.store(Held);
@@ -45,7 +48,7 @@
 
   void onMessage(const wire::Envelope &Message) override {
     if (Message.has_membership() && Message.membership().has_heartbeat())
-      rememberAgent(Message);
+      rememberDirectAgent(Message);
     m_Exchange.onMessage(Message);
   }
 
@@ -68,32 +71,33 @@
 private:
   struct Agent {
     std::string m_Address;
-    TimePoint m_Heard;
+    TimePoint m_LastHeartbeat;
   };
 
-  /// Changes are sent at once to the agents whose first choice this is; their
-  /// second entry finds by the next heartbeat whether they arrived.
-  void rememberAgent(const wire::Envelope &Message) {
+  /// Remembers agents whose first choice is this entry; changes are sent to
+  /// them at once. Their second entry detects by the next heartbeat whether the
+  /// change arrived.
+  void rememberDirectAgent(const wire::Envelope &Message) {
     const wire::Heartbeat &Beat = Message.membership().heartbeat();
     const InstanceId Id{Message.sender()};
     if (Beat.first())
-      m_Agents[Id] = {Beat.address(), now()};
+      m_DirectAgents[Id] = {Beat.address(), now()};
     else
-      m_Agents.erase(Id);
+      m_DirectAgents.erase(Id);
   }
 
-  void spread(const DeclarationUpdate &News) {
+  void distribute(const DeclarationUpdate &Update) {
     const Duration Limit = m_Process.m_Settings.m_Membership.m_GoneAfter;
-    std::erase_if(m_Agents, [&](const auto &Each) {
-      return now() - Each.second.m_Heard > Limit;
+    std::erase_if(m_DirectAgents, [&](const auto &Each) {
+      return now() - Each.second.m_LastHeartbeat > Limit;
     });
-    for (const auto &[Id, Each] : m_Agents)
-      m_Exchange.send(Each.m_Address, News);
-    for (const std::string &Each : someEntries())
-      m_Exchange.send(Each, News);
+    for (const auto &[Id, Each] : m_DirectAgents)
+      m_Exchange.send(Each.m_Address, Update);
+    for (const std::string &Each : randomEntries())
+      m_Exchange.send(Each, Update);
   }
 
-  std::vector<std::string> someEntries() {
+  std::vector<std::string> randomEntries() {
     std::vector<std::string> Others;
     const auto View = m_Process.m_Membership.load();
     for (const auto &[Id, Each] : View->m_Members)
@@ -101,7 +105,7 @@
           Id != m_Process.m_Settings.m_Instance)
         Others.push_back(Each.m_Addresses.m_Control);
     std::shuffle(Others.begin(), Others.end(), m_Random);
-    Others.resize(std::min(Others.size(), EntriesPerChange));
+    Others.resize(std::min(Others.size(), MaxEntriesPerChange));
     return Others;
   }
 
@@ -110,7 +114,7 @@
   PlatformFollower m_Follower;
   LeaseKeeper m_Lease;
   StatusWriter m_Status;
-  std::map<InstanceId, Agent> m_Agents;
+  std::map<InstanceId, Agent> m_DirectAgents;
   std::mt19937_64 m_Random;
 };
 
--- a/src/daemon/declarations-exchange.cc
+++ b/src/daemon/declarations-exchange.cc
@@ -9,13 +9,14 @@
 
 namespace {
 
-/// Sources that a starting process hears before it takes the newest.
+/// Sources of declarations that a starting process awaits before it publishes.
 constexpr std::size_t SourcesAtStart = 2;
-/// Heartbeats with differing content before everything is exchanged.
+/// Consecutive heartbeats with a differing digest before the whole replica is
+/// exchanged.
 constexpr unsigned DifferencesBeforeWhole = 3;
 constexpr std::size_t MaxPeers = 10'000;
 /// Changes kept for the dump: eight hours of 1,500 a day.
-constexpr std::size_t KeptChanges = 500;
+constexpr std::size_t MaxHistoryChanges = 500;
 
 } // namespace
 
@@ -51,9 +52,9 @@
   return Out;
 }
 
-DeclarationExchange::DeclarationExchange(Process &In, Spread OnChange)
-    : m_Process(In), m_OnChange(std::move(OnChange)), m_Began(now()),
-      m_History(KeptChanges) {}
+DeclarationExchange::DeclarationExchange(Process &In, ChangeCallback OnChange)
+    : m_Process(In), m_OnChange(std::move(OnChange)), m_StartedAt(now()),
+      m_History(MaxHistoryChanges) {}
 
 void DeclarationExchange::onMessage(const wire::Envelope &Message) {
   if (Message.has_membership() && Message.membership().has_heartbeat()) {
@@ -61,7 +62,7 @@
     const std::uint64_t InForce = Beat.has_member()
                                       ? Beat.member().in_force()
                                       : Beat.short_form().in_force();
-    compare(Beat.address(), {InForce}, Beat.declarations_digest());
+    compareReplicas(Beat.address(), {InForce}, Beat.declarations_digest());
     return;
   }
   if (!Message.has_declarations())
@@ -74,27 +75,28 @@
 
 DeclarationStore::Effect DeclarationExchange::apply(
     const std::string &Source,
-    const std::function<DeclarationStore::Effect(DeclarationStore &)> &How) {
+    const std::function<DeclarationStore::Effect(DeclarationStore &)>
+        &Operation) {
   const Revision Before = m_Store.revision();
   const std::uint64_t Content = m_Store.digest();
-  const DeclarationStore::Effect Did = How(m_Store);
+  const DeclarationStore::Effect Applied = Operation(m_Store);
   if (!m_FilledAt && m_Store.filled())
     m_FilledAt = now();
   if (!m_Published)
     m_Sources.insert(Source);
-  if (Did != DeclarationStore::Effect::Changed) {
+  if (Applied != DeclarationStore::Effect::Changed) {
     tick();
-    return Did;
+    return Applied;
   }
   if (m_Published)
     publish();
   tick();
-  spreadChange(Before, Content);
-  return Did;
+  distributeChange(Before, Content);
+  return Applied;
 }
 
-void DeclarationExchange::spreadChange(Revision Before,
-                                       std::uint64_t ContentBefore) {
+void DeclarationExchange::distributeChange(Revision Before,
+                                           std::uint64_t ContentBefore) {
   if (!m_Store.filled())
     return;
   const bool Completed =
@@ -120,16 +122,16 @@
   m_Process.m_Declarations.publish(
       std::make_shared<const DeclarationSet>(m_Store.snapshot()));
   m_Process.m_DeclarationsDigest.store(m_Store.digest());
-  m_History.note(now() - m_Began, m_Store.snapshot());
+  m_History.note(now() - m_StartedAt, m_Store.snapshot());
 }
 
 void DeclarationExchange::onUpdate(const wire::Envelope &Message,
                                    const wire::DeclarationUpdate &Update) {
   const DeclarationUpdate Read = fromWire(Update);
-  const auto Did = apply(Message.sender(), [&](DeclarationStore &Store) {
+  const auto Applied = apply(Message.sender(), [&](DeclarationStore &Store) {
     return Store.applyUpdate(Read);
   });
-  if (Did != DeclarationStore::Effect::Gap)
+  if (Applied != DeclarationStore::Effect::Gap)
     return;
   ++m_Gaps;
   for (const auto &[Id, Member] : m_Process.m_Membership.load()->m_Members)
@@ -144,15 +146,17 @@
     send(Request.address(), m_Store.changesSince({Request.have()}));
 }
 
-void DeclarationExchange::compare(const std::string &Address, Revision Theirs,
-                                  std::uint64_t Digest) {
+void DeclarationExchange::compareReplicas(const std::string &Address,
+                                          Revision Theirs,
+                                          std::uint64_t Digest) {
   if (m_Peers.size() >= MaxPeers)
     m_Peers.clear();
   Peer &Of = m_Peers[Address];
   const Revision Mine = m_Store.revision();
   if (Digest == m_Store.digest()) {
     Of.m_Differences = 0;
-    // A revision that completes nothing new is not worth telling the fleet.
+    // A newer revision is applied, and so distributed to the fleet, only if it
+    // can complete this replica.
     if (Theirs > Mine && Mine < m_Store.newest())
       apply(Address, [&](DeclarationStore &Store) {
         return Store.applyUpdate({Theirs, Theirs, false, Digest, {}});
--- a/src/daemon/declarations-exchange.h
+++ b/src/daemon/declarations-exchange.h
@@ -1,4 +1,4 @@
-// A process's replica of the declarations and its exchange with other replicas.
+// A process's replica of the declarations and its synchronization with others.
 #pragma once
 
 #include "daemon/module.h"
@@ -17,21 +17,26 @@
 wire::DeclarationUpdate toWire(const DeclarationUpdate &Update);
 DeclarationUpdate fromWire(const wire::DeclarationUpdate &Message);
 
-/// Applies what peers send, answers what they ask, and publishes the snapshot.
-/// Heartbeats show whose replica lags: the one that hears it sends or asks.
+/// Applies updates from peers, answers their requests and publishes snapshots.
+/// Heartbeats carry the sender's revision and digest; the receiver compares
+/// them with its replica and sends an update to, or requests one from, the
+/// sender.
 class DeclarationExchange {
 public:
-  /// Called with what others should be told after the replica changed.
-  using Spread = std::function<void(const DeclarationUpdate &)>;
+  /// Called after the replica changed, with the update to send to others.
+  using ChangeCallback = std::function<void(const DeclarationUpdate &)>;
 
-  DeclarationExchange(Process &In, Spread OnChange);
+  DeclarationExchange(Process &In, ChangeCallback OnChange);
 
   void onMessage(const wire::Envelope &Message);
-  /// Applies an input by the given function and does what its effect asks for.
+  /// Applies an input from Source with the given function, then publishes and
+  /// distributes the change if there is one.
   DeclarationStore::Effect
   apply(const std::string &Source,
-        const std::function<DeclarationStore::Effect(DeclarationStore &)> &How);
-  /// Ends the wait for a second source if it has lasted long enough.
+        const std::function<DeclarationStore::Effect(DeclarationStore &)>
+            &Operation);
+  /// Publishes the first snapshot once there are enough sources or the wait for
+  /// a second one has timed out.
   void tick();
   void send(const std::string &Address, const DeclarationUpdate &Update);
   const DeclarationStore &store() const { return m_Store; }
@@ -39,27 +44,27 @@
 
 private:
   struct Peer {
-    unsigned m_Differences = 0; ///< heartbeats in a row
+    unsigned m_Differences = 0; ///< consecutive heartbeats that differed
     TimePoint m_Requested;
   };
 
   void onUpdate(const wire::Envelope &Message,
                 const wire::DeclarationUpdate &Update);
   void onRequest(const wire::DeclarationRequest &Request);
-  void compare(const std::string &Address, Revision Theirs,
-               std::uint64_t Digest);
+  void compareReplicas(const std::string &Address, Revision Theirs,
+                       std::uint64_t Digest);
   void request(const std::string &Address, bool Whole);
   void publish();
   boost::json::object historyDump() const;
-  void spreadChange(Revision Before, std::uint64_t ContentBefore);
+  void distributeChange(Revision Before, std::uint64_t ContentBefore);
 
   Process &m_Process;
-  Spread m_OnChange;
+  ChangeCallback m_OnChange;
   DeclarationStore m_Store;
   std::map<std::string, Peer> m_Peers;
-  std::set<std::string> m_Sources; ///< heard before the first publication
+  std::set<std::string> m_Sources; ///< of input before the first publication
   std::optional<TimePoint> m_FilledAt;
-  TimePoint m_Began;
+  TimePoint m_StartedAt;
   AppliedHistory m_History;
   bool m_Published = false;
   std::uint64_t m_Gaps = 0;
--- a/src/daemon/declarations-follower.cc
+++ b/src/daemon/declarations-follower.cc
@@ -15,11 +15,12 @@
 
 namespace {
 
-/// A change that no event told is in force this much later at worst.
-constexpr std::chrono::seconds ListEvery{8};
-/// An event is confirmed by lists after this; more events join in.
-constexpr std::chrono::milliseconds ConfirmAfter{200};
-constexpr std::chrono::milliseconds LeastBetweenLists{1'000};
+/// Upper bound on the delay of a change for which no event arrived.
+constexpr std::chrono::seconds ListInterval{8};
+/// Delay between an event and the lists that confirm it, together with any
+/// later events.
+constexpr std::chrono::milliseconds ConfirmDelay{200};
+constexpr std::chrono::milliseconds MinListInterval{1'000};
 
 } // namespace
 
@@ -45,13 +46,13 @@
 }
 
 asio::awaitable<void> PlatformFollower::pause(asio::steady_timer &Timer,
-                                              Duration For) {
-  Timer.expires_after(For);
+                                              Duration Delay) {
+  Timer.expires_after(Delay);
   co_await Timer.async_wait(asio::as_tuple(asio::use_awaitable));
 }
 
 asio::awaitable<bool> PlatformFollower::listAll() {
-  m_Confirm = TimePoint::max();
+  m_ConfirmAt = TimePoint::max();
   for (const std::string &Kind : replicatedKinds()) {
     const auto List = co_await m_Process.m_Platform.list(Kind);
     if (!List || m_Stopping)
@@ -70,7 +71,7 @@
 asio::awaitable<void> PlatformFollower::listLoop() {
   while (!m_Stopping) {
     if (m_Lists > 0 && !m_Process.m_FollowsPlatform.load()) {
-      co_await pause(m_ListTimer, ListEvery);
+      co_await pause(m_ListTimer, ListInterval);
       continue;
     }
     const bool Listed = co_await listAll();
@@ -87,11 +88,13 @@
       continue;
     }
     m_WatchTimer.cancel();
-    const TimePoint Began = now();
-    co_await pause(m_ListTimer, LeastBetweenLists);
-    while (!m_Stopping && now() < std::min(m_Confirm, Began + ListEvery))
+    const TimePoint ListFinished = now();
+    co_await pause(m_ListTimer, MinListInterval);
+    while (!m_Stopping &&
+           now() < std::min(m_ConfirmAt, ListFinished + ListInterval))
       co_await pause(m_ListTimer,
-                     std::min(m_Confirm, Began + ListEvery) - now());
+                     std::min(m_ConfirmAt, ListFinished + ListInterval) -
+                         now());
   }
 }
 
@@ -100,7 +103,7 @@
     const Revision Since = m_Exchange.store().revision();
     const bool MayWatch = m_Process.m_FollowsPlatform.load();
     if (!MayWatch || m_Failures > 0 || m_Lists == 0) {
-      co_await pause(m_WatchTimer, ListEvery); // the list loop wakes it
+      co_await pause(m_WatchTimer, ListInterval); // listLoop() wakes it
       continue;
     }
     ++m_Watches;
@@ -124,11 +127,11 @@
     return Store.applyEvent({Object.m_Kind, Object.m_Name, Object.m_Revision,
                              Deleted, Deleted ? "" : Object.m_Json});
   });
-  // What this entry already lists as complete needs no confirmation.
+  // Revisions up to that of the last complete lists need no confirmation.
   if (Object.m_Revision <= m_Exchange.store().revision())
     return true;
-  if (m_Confirm == TimePoint::max()) {
-    m_Confirm = now() + ConfirmAfter;
+  if (m_ConfirmAt == TimePoint::max()) {
+    m_ConfirmAt = now() + ConfirmDelay;
     m_ListTimer.cancel();
   }
   return true;
--- a/src/daemon/declarations-follower.h
+++ b/src/daemon/declarations-follower.h
@@ -1,4 +1,4 @@
-// Follows the platform's declared objects: lists make complete, a watch hints.
+// Follows the platform's declared objects by a watch, confirmed by lists.
 #pragma once
 
 #include "daemon/declarations-exchange.h"
@@ -11,17 +11,18 @@
 
 namespace deckpitch::daemon {
 
-/// Runs on the control loop of an entry: it lists once at the start, and again
-/// and again while Process::m_FollowsPlatform holds. A watch's event is applied
-/// at once and confirmed by lists soon after, since events may be dropped or
-/// out of order; lists are repeated now and then for what no event told.
+/// Lists and watches the platform's objects on the control loop of an entry. It
+/// lists once at the start, and periodically while Process::m_FollowsPlatform
+/// is set. An event of the watch is applied at once and confirmed by lists soon
+/// after, since events may be dropped or out of order; the periodic lists find
+/// changes for which no event arrived.
 class PlatformFollower {
 public:
   PlatformFollower(Process &In, DeclarationExchange &Exchange);
 
   void start();
   void stop();
-  /// m_FollowsPlatform has changed.
+  /// Must be called when Process::m_FollowsPlatform has changed.
   void wake();
   boost::json::object dump() const;
 
@@ -30,7 +31,7 @@
   boost::asio::awaitable<void> watchLoop();
   boost::asio::awaitable<bool> listAll();
   boost::asio::awaitable<void> pause(boost::asio::steady_timer &Timer,
-                                     Duration For);
+                                     Duration Delay);
   bool onEvent(const net::PlatformEvent &Event);
 
   Process &m_Process;
@@ -38,7 +39,7 @@
   boost::asio::steady_timer m_ListTimer;
   boost::asio::steady_timer m_WatchTimer;
   std::mt19937_64 m_Random;
-  TimePoint m_Confirm = TimePoint::max(); ///< when lists are due early
+  TimePoint m_ConfirmAt = TimePoint::max(); ///< when lists are due early
   std::uint64_t m_Lists = 0;
   std::uint64_t m_Watches = 0;
   std::uint64_t m_Events = 0;
