--- a/src/net/dead-peer.h
+++ b/src/net/dead-peer.h
@@ -1,4 +1,4 @@
-// Makes connections to machines that vanished end by themselves.
+// Socket options that close connections to unreachable instances.
 #pragma once
 
 #include <boost/asio/detail/socket_option.hpp>
@@ -11,21 +11,24 @@
 
 namespace deckpitch::net {
 
-/// A machine without power or behind a partition sends no reset, so what was
-/// sent to it would wait for the system's own limit of many minutes. Longer
-/// than any pause of a live link, shorter than the patience of callers.
+/// Time without acknowledgement after which a connection fails. An instance
+/// that lost power or is partitioned sends no reset, and the system's default
+/// timeout is many minutes. This one is longer than any pause of a live link
+/// and shorter than the timeouts of callers.
 inline constexpr std::chrono::milliseconds DeadPeerTimeout{3'000};
 
-template <typename Socket> void noticeDeadPeer(Socket &Of) {
+/// Enables keep-alive probes and a limit on unacknowledged data for a TCP
+/// socket.
+template <typename Socket> void enableDeadPeerDetection(Socket &Target) {
   using boost::asio::detail::socket_option::integer;
-  boost::system::error_code Ignored; // Without the options, only slower.
-  Of.set_option(boost::asio::socket_base::keep_alive(true), Ignored);
-  Of.set_option(integer<IPPROTO_TCP, TCP_KEEPIDLE>(2), Ignored);
-  Of.set_option(integer<IPPROTO_TCP, TCP_KEEPINTVL>(1), Ignored);
-  Of.set_option(integer<IPPROTO_TCP, TCP_KEEPCNT>(2), Ignored);
-  Of.set_option(integer<IPPROTO_TCP, TCP_USER_TIMEOUT>(
-                    static_cast<int>(DeadPeerTimeout.count())),
-                Ignored);
+  boost::system::error_code Ignored; // Failure only delays the detection.
+  Target.set_option(boost::asio::socket_base::keep_alive(true), Ignored);
+  Target.set_option(integer<IPPROTO_TCP, TCP_KEEPIDLE>(2), Ignored);
+  Target.set_option(integer<IPPROTO_TCP, TCP_KEEPINTVL>(1), Ignored);
+  Target.set_option(integer<IPPROTO_TCP, TCP_KEEPCNT>(2), Ignored);
+  Target.set_option(integer<IPPROTO_TCP, TCP_USER_TIMEOUT>(
+                        static_cast<int>(DeadPeerTimeout.count())),
+                    Ignored);
 }
 
 } // namespace deckpitch::net
--- a/src/net/deflate.cc
+++ b/src/net/deflate.cc
@@ -10,25 +10,27 @@
 
 namespace {
 
-/// Of zlib's nine: the second fastest. A declaration of 4,000 routes shrinks to
-/// a tenth already.
+/// The second fastest of zlib's nine levels; it already compresses a
+/// declaration of 4,000 routes to a tenth.
 constexpr int Level = 2;
 constexpr int WindowBits = 15;
 constexpr int MemoryLevel = 8;
-/// Text that one round unpacks.
-constexpr std::size_t Step = std::size_t{64} * 1024;
-/// The library looks up each code by nine bits, also a last one that is shorter
-/// and ends the bytes, and would take a whole stream for cut off.
+/// Text bytes decompressed in one iteration.
+constexpr std::size_t StepBytes = std::size_t{64} * 1024;
+/// Padding appended to the input. Boost's inflate looks up each code by nine
+/// bits, even if the last code is shorter and ends the input, and would report
+/// such a complete stream as truncated.
 constexpr std::size_t LookAheadBytes = 2;
-/// Of z_params::data_type: bits that were read ahead and not used.
+/// Mask for the number of bits that were read ahead but not used, in
+/// z_params::data_type.
 constexpr int UnusedBitsMask = 63;
 constexpr std::size_t BitsPerByte = 8;
 
-Error broken(const std::string &Why) {
+Error invalidStream(const std::string &Why) {
   return {ErrorCode::InvalidInput, "compressed text: " + Why};
 }
 
-/// Bytes that the stream's codes take: what was read ahead is no part of it.
+/// Returns the length of the compressed stream, without bytes read ahead.
 std::size_t usedBytes(const zlib::z_params &Ended) {
   const auto Unused =
       static_cast<std::size_t>(Ended.data_type & UnusedBitsMask) / BitsPerByte;
@@ -52,7 +54,7 @@
   return Out;
 }
 
-Outcome<std::string> inflate(std::string_view Bytes, std::size_t MostBytes) {
+Outcome<std::string> inflate(std::string_view Bytes, std::size_t MaxBytes) {
   zlib::inflate_stream Stream;
   Stream.reset(WindowBits);
   std::string Padded(Bytes);
@@ -63,24 +65,25 @@
   std::string Out;
   while (true) {
     const std::size_t Before = Out.size();
-    const std::size_t Room = std::min(Step, MostBytes - Before + 1);
-    Out.resize(Before + Room);
+    const std::size_t FreeBytes = std::min(StepBytes, MaxBytes - Before + 1);
+    Out.resize(Before + FreeBytes);
     Params.next_out = Out.data() + Before;
-    Params.avail_out = Room;
+    Params.avail_out = FreeBytes;
     boost::beast::error_code Ec;
     Stream.write(Params, zlib::Flush::sync, Ec);
-    Out.resize(Before + Room - Params.avail_out);
-    if (Out.size() > MostBytes)
-      return broken("more than " + std::to_string(MostBytes) + " bytes");
+    Out.resize(Before + FreeBytes - Params.avail_out);
+    if (Out.size() > MaxBytes)
+      return invalidStream("longer than " + std::to_string(MaxBytes) +
+                           " bytes");
     const bool IsEnd = Ec == zlib::error::end_of_stream;
     if (IsEnd && usedBytes(Params) <= Bytes.size())
       return Out;
     if (IsEnd)
-      return broken("cut off");
+      return invalidStream("truncated");
     if (Ec && Ec != zlib::error::need_buffers)
-      return broken(Ec.message());
+      return invalidStream(Ec.message());
     if (Params.avail_out != 0)
-      return broken("cut off");
+      return invalidStream("truncated");
   }
 }
 
--- a/src/net/deflate.h
+++ b/src/net/deflate.h
@@ -1,4 +1,4 @@
-// Compression of texts that are passed on between processes.
+// Compression of texts that processes send to one another.
 #pragma once
 
 #include "deckpitch/error.h"
@@ -9,11 +9,11 @@
 
 namespace deckpitch::net {
 
-/// As a raw deflate stream.
+/// Compresses the text to a raw deflate stream.
 std::string deflate(std::string_view Text);
 
-/// Errors: InvalidInput where the bytes are no whole stream, or hold more than
-/// that many bytes of text.
-Outcome<std::string> inflate(std::string_view Bytes, std::size_t MostBytes);
+/// Decompresses a raw deflate stream. Errors: InvalidInput if the stream is
+/// truncated or invalid, or its text is longer than MaxBytes.
+Outcome<std::string> inflate(std::string_view Bytes, std::size_t MaxBytes);
 
 } // namespace deckpitch::net
--- a/src/net/http-client.cc
+++ b/src/net/http-client.cc
@@ -23,25 +23,27 @@
 
 constexpr auto UseAwaitable = asio::as_tuple(asio::use_awaitable);
 constexpr std::size_t MaxIdlePerAddress = 256;
-constexpr std::size_t LeastReadBytes = std::size_t{4} * 1024;
-constexpr std::size_t MostReadBytes = std::size_t{64} * 1024;
+constexpr std::size_t MinReadBytes = std::size_t{4} * 1024;
+constexpr std::size_t MaxReadBytes = std::size_t{64} * 1024;
 
 struct Connection {
   explicit Connection(const asio::any_io_executor &Executor)
       : m_Socket(Executor) {}
   tcp::socket m_Socket;
-  ProgressLimit m_Limit{m_Socket};
+  ProgressLimit m_Deadline{m_Socket};
   beast::flat_buffer m_Buffer;
-  std::size_t m_ReadBytes = LeastReadBytes; ///< grows with what comes at once
+  std::size_t m_ReadBytes = MinReadBytes; ///< grows while reads fill the buffer
   BootClock::time_point m_IdleSince;
-  std::optional<std::chrono::milliseconds> m_ServerKeeps; ///< idle, it says
+  std::optional<std::chrono::milliseconds>
+      m_ServerKeepAlive; ///< announced idle timeout
 
-  /// False when the server closed the connection or sent something unasked,
-  /// or may be about to close it.
-  bool usable(std::chrono::milliseconds MostIdle) {
+  /// Returns false if the server closed the connection, sent data that belongs
+  /// to no request, or may be about to close it, which is assumed after half of
+  /// its announced idle timeout.
+  bool isReusable(std::chrono::milliseconds MaxIdle) {
     const auto Idle = BootClock::now() - m_IdleSince;
     const bool IsOld =
-        Idle > MostIdle || (m_ServerKeeps && Idle > *m_ServerKeeps / 2);
+        Idle > MaxIdle || (m_ServerKeepAlive && Idle > *m_ServerKeepAlive / 2);
     if (IsOld || m_Buffer.size() != 0)
       return false;
     char Byte = 0;
@@ -51,15 +53,16 @@
   }
 };
 
-/// Kept connections belong to one loop and one server.
+/// Identifies a pool: idle connections of one event loop to one server.
 struct PoolKey {
   asio::execution_context *m_Loop;
   std::string m_Address;
   friend auto operator<=>(const PoolKey &, const PoolKey &) = default;
 };
 
-/// How long a server says that it keeps an idle connection.
-std::optional<std::chrono::milliseconds> keptFor(std::string_view KeepAlive) {
+/// Parses the idle timeout from the value of a Keep-Alive header.
+std::optional<std::chrono::milliseconds>
+parseKeepAliveTimeout(std::string_view KeepAlive) {
   constexpr std::string_view Field = "timeout=";
   const std::size_t At = KeepAlive.find(Field);
   if (At == std::string_view::npos)
@@ -78,36 +81,36 @@
   return Error{ErrorCode::Unavailable, Address + ": " + Ec.message()};
 }
 
-bool isPeerEnd(const boost::system::error_code &Ec) {
+bool isClosedByPeer(const boost::system::error_code &Ec) {
   return Ec == asio::error::eof || Ec == asio::error::connection_reset ||
          Ec == asio::error::broken_pipe || Ec == http::error::end_of_stream ||
          Ec == http::error::partial_message;
 }
 
-Error unanswered(const std::string &Address,
-                 const boost::system::error_code &Ec) {
+Error outcomeUnknown(const std::string &Address,
+                     const boost::system::error_code &Ec) {
   return Error{ErrorCode::Timeout, Address + ": " + Ec.message(),
-               isPeerEnd(Ec)};
+               isClosedByPeer(Ec)};
 }
 
 } // namespace
 
 struct HttpClient::Impl {
-  std::unique_ptr<Connection> takeIdle(const PoolKey &Key,
-                                       std::chrono::milliseconds MostIdle) {
+  std::unique_ptr<Connection> acquireIdle(const PoolKey &Key,
+                                          std::chrono::milliseconds MaxIdle) {
     std::lock_guard Lock(m_Mutex);
     auto &Idle = m_Idle[Key];
     while (!Idle.empty()) {
       auto Taken = std::move(Idle.back());
       Idle.pop_back();
-      if (Taken->usable(MostIdle))
+      if (Taken->isReusable(MaxIdle))
         return Taken;
     }
     return nullptr;
   }
 
-  void giveBack(const PoolKey &Key, std::unique_ptr<Connection> Returned) {
-    Returned->m_Limit.stop();
+  void release(const PoolKey &Key, std::unique_ptr<Connection> Returned) {
+    Returned->m_Deadline.stop();
     Returned->m_IdleSince = BootClock::now();
     std::lock_guard Lock(m_Mutex);
     auto &Idle = m_Idle[Key];
@@ -124,14 +127,14 @@
 class Stream final : public HttpStream {
 public:
   Stream(std::weak_ptr<HttpClient::Impl> Pool, PoolKey Key,
-         std::unique_ptr<Connection> Used, CallLimits Limits)
+         std::unique_ptr<Connection> Conn, CallLimits Limits)
       : m_Pool(std::move(Pool)), m_Key(std::move(Key)),
-        m_Connection(std::move(Used)), m_Limits(Limits) {
+        m_Connection(std::move(Conn)), m_Limits(Limits) {
     m_Parser.body_limit(boost::none);
   }
 
   asio::awaitable<boost::system::error_code> readHeader() {
-    m_Connection->m_Limit.expiresAfter(m_Limits.m_FirstByte);
+    m_Connection->m_Deadline.expiresAfter(m_Limits.m_FirstByte);
     auto [Ec, Bytes] = co_await http::async_read_header(
         m_Connection->m_Socket, m_Connection->m_Buffer, m_Parser, UseAwaitable);
     if (Ec)
@@ -139,7 +142,8 @@
     for (const auto &Field : m_Parser.get())
       m_Headers.add(std::string(Field.name_string()),
                     std::string(Field.value()));
-    m_Connection->m_ServerKeeps = keptFor(m_Headers.find("Keep-Alive"));
+    m_Connection->m_ServerKeepAlive =
+        parseKeepAliveTimeout(m_Headers.find("Keep-Alive"));
     co_return boost::system::error_code{};
   }
 
@@ -149,9 +153,9 @@
   asio::awaitable<Outcome<std::string>> read() override {
     while (m_Connection) {
       boost::system::error_code Fault;
-      std::string Piece = takeBuffered(Fault);
+      std::string Piece = consumeBuffered(Fault);
       if (Fault)
-        co_return unanswered(m_Key.m_Address, Fault);
+        co_return outcomeUnknown(m_Key.m_Address, Fault);
       if (!Piece.empty())
         co_return Piece;
       if (m_Parser.is_done()) {
@@ -159,20 +163,20 @@
         co_return std::string();
       }
       Connection &From = *m_Connection;
-      From.m_Limit.expiresAfter(m_Limits.m_BetweenBytes);
+      From.m_Deadline.expiresAfter(m_Limits.m_BetweenBytes);
       auto [Ec, Bytes] = co_await From.m_Socket.async_read_some(
           From.m_Buffer.prepare(From.m_ReadBytes), UseAwaitable);
       if (m_Cancelled)
         Ec = asio::error::operation_aborted;
       else if (Ec == asio::error::eof)
         m_Parser.put_eof(Ec);
-      else if (From.m_Limit.passed())
+      else if (From.m_Deadline.expired())
         Ec = beast::error::timeout;
       if (Ec)
-        co_return unanswered(m_Key.m_Address, Ec);
+        co_return outcomeUnknown(m_Key.m_Address, Ec);
       From.m_Buffer.commit(Bytes);
       if (Bytes == From.m_ReadBytes)
-        From.m_ReadBytes = std::min(2 * Bytes, MostReadBytes);
+        From.m_ReadBytes = std::min(2 * Bytes, MaxReadBytes);
     }
     co_return std::string();
   }
@@ -190,8 +194,9 @@
   }
 
 private:
-  /// The body in all bytes that have come, several chunks in one piece.
-  std::string takeBuffered(boost::system::error_code &Fault) {
+  /// Parses all buffered bytes and returns the body data in them. Several
+  /// chunks are merged into one piece.
+  std::string consumeBuffered(boost::system::error_code &Fault) {
     beast::flat_buffer &Buffer = m_Connection->m_Buffer;
     std::string Piece(Buffer.size(), '\0');
     std::size_t Taken = 0;
@@ -213,11 +218,12 @@
     if (m_Connection && m_Limits.m_KeepsConnection &&
         m_Parser.get().keep_alive())
       if (const auto Pool = m_Pool.lock())
-        Pool->giveBack(m_Key, std::move(m_Connection));
+        Pool->release(m_Key, std::move(m_Connection));
     m_Connection.reset();
   }
 
-  /// Not an owner: kept connections must end before their loops do.
+  /// A weak reference, since pooled connections must be destroyed before their
+  /// event loops.
   std::weak_ptr<HttpClient::Impl> m_Pool;
   PoolKey m_Key;
   std::unique_ptr<Connection> m_Connection;
@@ -227,12 +233,12 @@
   bool m_Cancelled = false;
 };
 
-/// Lets a call's canceller close the connection that the call uses now.
+/// Lets CallCancel close the connection that the call currently uses.
 class AbortOnCancel {
 public:
-  AbortOnCancel(CallCancel *Cancel, Connection &Used) : m_Cancel(Cancel) {
+  AbortOnCancel(CallCancel *Cancel, Connection &Conn) : m_Cancel(Cancel) {
     if (m_Cancel)
-      m_Cancel->onCancel([&Socket = Used.m_Socket] {
+      m_Cancel->onCancel([&Socket = Conn.m_Socket] {
         boost::system::error_code Ignored;
         Socket.close(Ignored);
       });
@@ -255,18 +261,18 @@
   if (!Endpoint)
     co_return Error{ErrorCode::InvalidInput,
                     "'" + Address + "' is not ip:port"};
-  auto Fresh = std::make_unique<Connection>(Executor);
-  const AbortOnCancel Abort(Cancel, *Fresh);
-  Fresh->m_Limit.expiresAfter(Limit);
-  auto [Ec] = co_await Fresh->m_Socket.async_connect(*Endpoint, UseAwaitable);
-  if (Fresh->m_Limit.passed())
+  auto NewConn = std::make_unique<Connection>(Executor);
+  const AbortOnCancel Abort(Cancel, *NewConn);
+  NewConn->m_Deadline.expiresAfter(Limit);
+  auto [Ec] = co_await NewConn->m_Socket.async_connect(*Endpoint, UseAwaitable);
+  if (NewConn->m_Deadline.expired())
     Ec = beast::error::timeout;
   if (Ec)
     co_return unavailable(Address, Ec);
-  Fresh->m_Socket.set_option(tcp::no_delay(true), Ec);
-  noticeDeadPeer(Fresh->m_Socket);
-  Fresh->m_Socket.non_blocking(true, Ec);
-  co_return std::move(Fresh);
+  NewConn->m_Socket.set_option(tcp::no_delay(true), Ec);
+  enableDeadPeerDetection(NewConn->m_Socket);
+  NewConn->m_Socket.non_blocking(true, Ec);
+  co_return std::move(NewConn);
 }
 
 } // namespace
@@ -292,34 +298,34 @@
     Message.set(http::field::connection, "close");
   Message.body() = std::move(Request.m_Body);
   Message.prepare_payload();
-  const bool MayRepeat = Request.m_Method == "GET" && Limits.m_RepeatsGet;
+  const bool MayRetry = Request.m_Method == "GET" && Limits.m_RepeatsGet;
   bool Sent = false;
   while (!Cancel || !Cancel->cancelled()) {
-    std::unique_ptr<Connection> Used;
-    if (const auto Kept = Pool.lock())
-      Used = Kept->takeIdle(Key, Limits.m_MostIdle);
-    const bool Kept = Used != nullptr;
-    if (!Kept) {
-      auto Fresh =
+    std::unique_ptr<Connection> Conn;
+    if (const auto LivePool = Pool.lock())
+      Conn = LivePool->acquireIdle(Key, Limits.m_MostIdle);
+    const bool IsReused = Conn != nullptr;
+    if (!IsReused) {
+      auto NewConn =
           co_await connect(Executor, Address, Limits.m_Connect, Cancel);
-      if (!Fresh)
-        co_return Fresh.error();
-      Used = std::move(*Fresh);
+      if (!NewConn)
+        co_return NewConn.error();
+      Conn = std::move(*NewConn);
     }
-    const AbortOnCancel Abort(Cancel, *Used);
+    const AbortOnCancel Abort(Cancel, *Conn);
     Sent = true;
-    Used->m_Limit.expiresAfter(Limits.m_FirstByte);
+    Conn->m_Deadline.expiresAfter(Limits.m_FirstByte);
     auto [Ec, Bytes] =
-        co_await http::async_write(Used->m_Socket, Message, UseAwaitable);
-    auto Answer = std::make_unique<Stream>(Pool, Key, std::move(Used), Limits);
+        co_await http::async_write(Conn->m_Socket, Message, UseAwaitable);
+    auto Answer = std::make_unique<Stream>(Pool, Key, std::move(Conn), Limits);
     if (!Ec)
       Ec = co_await Answer->readHeader();
     if (!Ec)
       co_return std::unique_ptr<HttpStream>(std::move(Answer));
     const bool Closed =
         Ec == http::error::end_of_stream || Ec == asio::error::connection_reset;
-    if (!(Kept && MayRepeat && Closed))
-      co_return unanswered(Address, Ec);
+    if (!(IsReused && MayRetry && Closed))
+      co_return outcomeUnknown(Address, Ec);
   }
   co_return Error{Sent ? ErrorCode::Timeout : ErrorCode::Unavailable,
                   Address + ": cancelled"};
--- a/src/net/http-server.cc
+++ b/src/net/http-server.cc
@@ -23,7 +23,7 @@
 
 constexpr auto UseAwaitable = asio::as_tuple(asio::use_awaitable);
 constexpr std::string_view InterimResponse = "HTTP/1.1 100 Continue\r\n\r\n";
-constexpr std::chrono::seconds ProbeEvery{1};
+constexpr std::chrono::seconds ProbeInterval{1};
 constexpr unsigned Http11 = 11;
 
 void setHeaders(http::fields &Fields, const HttpHeaders &Headers) {
@@ -34,16 +34,16 @@
 struct Connection {
   explicit Connection(tcp::socket Socket) : m_Socket(std::move(Socket)) {}
   tcp::socket m_Socket;
-  ProgressLimit m_Limit{m_Socket};
+  ProgressLimit m_Deadline{m_Socket};
   std::atomic<bool> m_Busy{false};
 };
 
 class Responder final : public HttpResponder {
 public:
-  Responder(Connection &Served, std::chrono::milliseconds WriteTimeout,
-            bool KeepAlive, bool TakesInterim = false)
-      : m_Served(Served), m_WriteTimeout(WriteTimeout), m_KeepAlive(KeepAlive),
-        m_TakesInterim(TakesInterim) {}
+  Responder(Connection &Conn, std::chrono::milliseconds WriteTimeout,
+            bool KeepAlive, bool AcceptsInterim = false)
+      : m_Conn(Conn), m_WriteTimeout(WriteTimeout), m_KeepAlive(KeepAlive),
+        m_AcceptsInterim(AcceptsInterim) {}
 
   asio::awaitable<bool> send(HttpResponse Response) override {
     if (m_Started || m_Failed)
@@ -56,10 +56,10 @@
     Message.body() = std::move(Response.m_Body);
     Message.keep_alive(m_KeepAlive);
     Message.prepare_payload();
-    m_Served.m_Limit.expiresAfter(m_WriteTimeout);
+    m_Conn.m_Deadline.expiresAfter(m_WriteTimeout);
     auto [Ec, Bytes] =
-        co_await http::async_write(m_Served.m_Socket, Message, UseAwaitable);
-    m_Served.m_Limit.pause();
+        co_await http::async_write(m_Conn.m_Socket, Message, UseAwaitable);
+    m_Conn.m_Deadline.pause();
     m_Failed = static_cast<bool>(Ec);
     m_Ended = !Ec;
     co_return !Ec;
@@ -76,10 +76,10 @@
     Message.keep_alive(m_KeepAlive);
     Message.chunked(true);
     http::response_serializer<http::empty_body> Serializer(Message);
-    m_Served.m_Limit.expiresAfter(m_WriteTimeout);
+    m_Conn.m_Deadline.expiresAfter(m_WriteTimeout);
     auto [Ec, Bytes] = co_await http::async_write_header(
-        m_Served.m_Socket, Serializer, UseAwaitable);
-    m_Served.m_Limit.pause();
+        m_Conn.m_Socket, Serializer, UseAwaitable);
+    m_Conn.m_Deadline.pause();
     m_Failed = static_cast<bool>(Ec);
     co_return !Ec;
   }
@@ -108,65 +108,67 @@
   void abort() override {
     m_Failed = true;
     beast::error_code Ignored;
-    m_Served.m_Socket.shutdown(tcp::socket::shutdown_both, Ignored);
+    m_Conn.m_Socket.shutdown(tcp::socket::shutdown_both, Ignored);
   }
 
   bool started() const override { return m_Started; }
   void onGone(std::function<void()> Callback) override {
-    m_OnGone = std::move(Callback);
+    m_OnDisconnect = std::move(Callback);
   }
 
-  /// Sends an interim response; false when there is nothing to probe.
+  /// Sends an interim response to check whether the client is still there.
+  /// Returns false if there is no need for further probes.
   bool probe() {
-    if (m_Started || m_Failed || !m_TakesInterim)
+    if (m_Started || m_Failed || !m_AcceptsInterim)
       return false;
     boost::system::error_code Ec;
-    const std::size_t Sent = m_Served.m_Socket.write_some(
+    const std::size_t Sent = m_Conn.m_Socket.write_some(
         asio::buffer(InterimResponse.data(), InterimResponse.size()), Ec);
     if (Sent == InterimResponse.size() || Ec == asio::error::would_block)
       return true;
-    gone();
+    handleDisconnect();
     return false;
   }
 
-  void gone() {
+  void handleDisconnect() {
     if (m_Ended || m_Failed)
       return;
     m_Failed = true;
-    if (auto Callback = std::exchange(m_OnGone, nullptr))
+    if (auto Callback = std::exchange(m_OnDisconnect, nullptr))
       Callback();
   }
-  bool whole() const { return m_Ended && !m_Failed; }
+  bool isComplete() const { return m_Ended && !m_Failed; }
 
 private:
-  /// Sends at once what the socket takes, and waits only for the rest.
+  /// Writes without waiting as much as the socket accepts, and waits only for
+  /// the remainder.
   asio::awaitable<bool> sendAll(std::string_view Bytes) {
     boost::system::error_code Ec;
-    const std::size_t Taken = m_Served.m_Socket.write_some(
+    const std::size_t Taken = m_Conn.m_Socket.write_some(
         asio::buffer(Bytes.data(), Bytes.size()), Ec);
     if (Ec == asio::error::would_block)
       Ec = {};
     if (!Ec && Taken < Bytes.size()) {
-      m_Served.m_Limit.expiresAfter(m_WriteTimeout);
+      m_Conn.m_Deadline.expiresAfter(m_WriteTimeout);
       std::tie(Ec, std::ignore) = co_await asio::async_write(
-          m_Served.m_Socket,
+          m_Conn.m_Socket,
           asio::buffer(Bytes.data() + Taken, Bytes.size() - Taken),
           UseAwaitable);
-      m_Served.m_Limit.pause();
+      m_Conn.m_Deadline.pause();
     }
     m_Failed = static_cast<bool>(Ec);
     co_return !Ec;
   }
 
-  Connection &m_Served;
-  std::string m_Frame; ///< kept, so that a chunk needs no memory of its own
+  Connection &m_Conn;
+  std::string m_Frame; ///< reused, to avoid an allocation for each chunk
   std::chrono::milliseconds m_WriteTimeout;
   bool m_KeepAlive;
-  bool m_TakesInterim;
+  bool m_AcceptsInterim;
   bool m_Started = false;
   bool m_Ended = false;
   bool m_Failed = false;
-  std::function<void()> m_OnGone;
+  std::function<void()> m_OnDisconnect;
 };
 
 } // namespace
@@ -191,49 +193,51 @@
         continue;
       }
       Socket.set_option(tcp::no_delay(true), Ec);
-      noticeDeadPeer(Socket);
+      enableDeadPeerDetection(Socket);
       Socket.non_blocking(true, Ec);
-      auto Added = std::make_shared<Connection>(std::move(Socket));
-      if (!add(Added))
+      auto NewConn = std::make_shared<Connection>(std::move(Socket));
+      if (!add(NewConn))
         continue;
-      asio::co_spawn(Added->m_Socket.get_executor(), serve(Added),
-                     [Self, Added](std::exception_ptr) {
-                       // What still waits on it would hold it open.
+      asio::co_spawn(NewConn->m_Socket.get_executor(), serve(NewConn),
+                     [Self, NewConn](std::exception_ptr) {
+                       // Pending operations hold a reference to the connection
+                       // and would keep its socket open.
                        boost::system::error_code Ignored;
-                       Added->m_Socket.close(Ignored);
+                       NewConn->m_Socket.close(Ignored);
                        std::lock_guard Lock(Self->m_Mutex);
-                       Self->m_Connections.erase(Added.get());
+                       Self->m_Connections.erase(NewConn.get());
                      });
     }
   }
 
-  bool add(const std::shared_ptr<Connection> &Added) {
+  bool add(const std::shared_ptr<Connection> &NewConn) {
     std::lock_guard Lock(m_Mutex);
     if (m_Draining || m_Connections.size() >= m_Limits.m_Connections)
       return false;
-    m_Connections.emplace(Added.get(), Added);
+    m_Connections.emplace(NewConn.get(), NewConn);
     return true;
   }
 
-  asio::awaitable<void> refuse(Connection &Served, unsigned Status,
+  asio::awaitable<void> refuse(Connection &Conn, unsigned Status,
                                std::string Message) {
-    Responder Answer(Served, m_Limits.m_WriteTimeout, false);
+    Responder Answer(Conn, m_Limits.m_WriteTimeout, false);
     co_await Answer.send(
         jsonResponse(Status, "{\"error\":\"" + Message + "\"}"));
-    // Read what is still coming for a moment, lest a reset overtake the answer.
+    // Drain incoming data for up to 1 s: closing a socket with unread data
+    // sends a reset, which may reach the client before the response.
     beast::error_code Ignored;
-    Served.m_Socket.shutdown(tcp::socket::shutdown_send, Ignored);
+    Conn.m_Socket.shutdown(tcp::socket::shutdown_send, Ignored);
     std::array<char, 4096> Sink;
-    Served.m_Limit.expiresAfter(std::chrono::seconds(1));
+    Conn.m_Deadline.expiresAfter(std::chrono::seconds(1));
     for (int I = 0; I < 256; ++I) {
-      auto [Ec, Bytes] = co_await Served.m_Socket.async_read_some(
+      auto [Ec, Bytes] = co_await Conn.m_Socket.async_read_some(
           asio::buffer(Sink), UseAwaitable);
       if (Ec)
         break;
     }
   }
 
-  static unsigned statusOf(const beast::error_code &Ec) {
+  static unsigned statusForError(const beast::error_code &Ec) {
     if (Ec == http::error::body_limit)
       return 413;
     if (Ec == http::error::header_limit)
@@ -243,50 +247,50 @@
     return 400;
   }
 
-  asio::awaitable<void> serve(std::shared_ptr<Connection> Served) {
+  asio::awaitable<void> serve(std::shared_ptr<Connection> Conn) {
     auto Self = shared_from_this();
-    tcp::socket &Socket = Served->m_Socket;
-    ProgressLimit &Limit = Served->m_Limit;
+    tcp::socket &Socket = Conn->m_Socket;
+    ProgressLimit &Deadline = Conn->m_Deadline;
     beast::flat_buffer Buffer;
     while (true) {
       http::request_parser<http::string_body> Parser;
       Parser.header_limit(static_cast<std::uint32_t>(m_Limits.m_HeaderBytes));
       Parser.body_limit(m_Limits.m_BodyBytes);
       if (Buffer.size() == 0) {
-        Limit.expiresAfter(m_Limits.m_IdleTimeout);
+        Deadline.expiresAfter(m_Limits.m_IdleTimeout);
         auto [Ec, Bytes] =
             co_await Socket.async_read_some(Buffer.prepare(4096), UseAwaitable);
         if (Ec)
           co_return;
         Buffer.commit(Bytes);
       }
-      Served->m_Busy = true;
-      m_Open.fetch_add(1);
-      Limit.expiresAfter(m_Limits.m_HeaderTimeout);
+      Conn->m_Busy = true;
+      m_OpenRequests.fetch_add(1);
+      Deadline.expiresAfter(m_Limits.m_HeaderTimeout);
       auto [Ec, Bytes] =
           co_await http::async_read(Socket, Buffer, Parser, UseAwaitable);
-      Limit.pause();
-      if (Limit.passed())
+      Deadline.pause();
+      if (Deadline.expired())
         Ec = beast::error::timeout;
       if (Ec) {
         if (Ec != http::error::end_of_stream &&
             Ec != asio::error::connection_reset)
-          co_await refuse(*Served, statusOf(Ec), Ec.message());
-        m_Open.fetch_sub(1);
+          co_await refuse(*Conn, statusForError(Ec), Ec.message());
+        m_OpenRequests.fetch_sub(1);
         co_return;
       }
-      const bool Again = co_await answer(Served, Parser.release(), Buffer);
-      m_Open.fetch_sub(1);
-      Served->m_Busy = false;
-      if (!Again || m_Draining)
+      const bool CanReuse = co_await answer(Conn, Parser.release(), Buffer);
+      m_OpenRequests.fetch_sub(1);
+      Conn->m_Busy = false;
+      if (!CanReuse || m_Draining)
         break;
     }
     beast::error_code Ignored;
     Socket.shutdown(tcp::socket::shutdown_send, Ignored);
   }
 
-  /// True when the connection can take another request.
-  asio::awaitable<bool> answer(std::shared_ptr<Connection> Served,
+  /// Handles one request. Returns true if the connection can serve another.
+  asio::awaitable<bool> answer(std::shared_ptr<Connection> Conn,
                                http::request<http::string_body> Message,
                                beast::flat_buffer &Buffer) {
     HttpRequest Request;
@@ -297,11 +301,11 @@
                             std::string(Field.value()));
     const bool KeepAlive =
         Message.keep_alive() && !m_Draining && !m_ClosesAfterAnswers;
-    const bool TakesInterim = Message.version() >= Http11;
+    const bool AcceptsInterim = Message.version() >= Http11;
     Request.m_Body = std::move(Message.body());
-    auto Answer = std::make_shared<Responder>(*Served, m_Limits.m_WriteTimeout,
-                                              KeepAlive, TakesInterim);
-    watchForClose(Served, Answer, Buffer);
+    auto Answer = std::make_shared<Responder>(*Conn, m_Limits.m_WriteTimeout,
+                                              KeepAlive, AcceptsInterim);
+    watchForClose(Conn, Answer, Buffer);
     bool Threw = false;
     try {
       co_await m_Handler(std::move(Request), *Answer);
@@ -313,56 +317,56 @@
     else if (!Answer->started())
       co_await Answer->send(
           jsonResponse(500, R"({"error":"no answer was given"})"));
-    co_return Answer->whole() && KeepAlive;
+    co_return Answer->isComplete() && KeepAlive;
   }
 
-  /// Notices a client that goes away while its answer is being made.
-  void watchForClose(const std::shared_ptr<Connection> &Served,
+  /// Detects a client that disconnects while its request is being handled.
+  void watchForClose(const std::shared_ptr<Connection> &Conn,
                      const std::shared_ptr<Responder> &Answer,
                      beast::flat_buffer &Buffer) {
     if (Buffer.size() != 0)
       return;
     std::weak_ptr<Responder> Weak = Answer;
-    Served->m_Socket.async_wait(
-        tcp::socket::wait_read, [Self = shared_from_this(), Served,
+    Conn->m_Socket.async_wait(
+        tcp::socket::wait_read, [Self = shared_from_this(), Conn,
                                  Weak](const boost::system::error_code &Ec) {
           const auto Watched = Weak.lock();
           if (!Watched || Ec)
             return;
           char Byte = 0;
           boost::system::error_code Peek;
-          const std::size_t Got = Served->m_Socket.receive(
+          const std::size_t Got = Conn->m_Socket.receive(
               asio::buffer(&Byte, 1), tcp::socket::message_peek, Peek);
           if (Peek == asio::error::would_block || Got > 0)
             return;
-          const bool IsGone = Peek && Peek != asio::error::eof;
-          if (IsGone || Self->m_Limits.m_HalfClosedIsGone)
-            return Watched->gone();
-          asio::co_spawn(Served->m_Socket.get_executor(),
-                         probeHalfClosed(Served, Weak), asio::detached);
+          const bool IsDisconnected = Peek && Peek != asio::error::eof;
+          if (IsDisconnected || Self->m_Limits.m_HalfClosedIsGone)
+            return Watched->handleDisconnect();
+          asio::co_spawn(Conn->m_Socket.get_executor(),
+                         probeHalfClosed(Conn, Weak), asio::detached);
         });
   }
 
-  /// A client that closed its sending side may still want the answer. Interim
-  /// responses, which it must ignore, bring a reset when nobody is there.
-  static asio::awaitable<void>
-  probeHalfClosed(std::shared_ptr<Connection> Served,
-                  std::weak_ptr<Responder> Weak) {
-    Served->m_Socket.async_wait(
+  /// Probes a client that closed its sending side, which may still be reading.
+  /// A client must ignore interim responses; one that has closed its socket
+  /// replies to them with a reset.
+  static asio::awaitable<void> probeHalfClosed(std::shared_ptr<Connection> Conn,
+                                               std::weak_ptr<Responder> Weak) {
+    Conn->m_Socket.async_wait(
         tcp::socket::wait_error,
-        [Served, Weak](const boost::system::error_code &Ec) {
+        [Conn, Weak](const boost::system::error_code &Ec) {
           const auto Watched = Weak.lock();
           if (Watched && !Ec)
-            Watched->gone();
+            Watched->handleDisconnect();
         });
-    asio::steady_timer Pause(Served->m_Socket.get_executor());
+    asio::steady_timer Pause(Conn->m_Socket.get_executor());
     while (true) {
       {
         const auto Watched = Weak.lock();
         if (!Watched || !Watched->probe())
           co_return;
       }
-      Pause.expires_after(ProbeEvery);
+      Pause.expires_after(ProbeInterval);
       co_await Pause.async_wait(UseAwaitable);
     }
   }
@@ -372,11 +376,12 @@
   HttpHandler m_Handler;
   HttpLimits m_Limits;
   std::mutex m_Mutex;
-  /// Each is owned by its serve(), so that it ends with its own loop.
+  /// Each connection is owned by its serve() coroutine, so that it is destroyed
+  /// with its own event loop.
   std::unordered_map<Connection *, std::weak_ptr<Connection>> m_Connections;
   std::atomic<bool> m_Draining{false};
   std::atomic<bool> m_ClosesAfterAnswers{false};
-  std::atomic<std::size_t> m_Open{0};
+  std::atomic<std::size_t> m_OpenRequests{0};
 };
 
 HttpServer::HttpServer(IoThreads &Threads, HttpHandler Handler,
@@ -445,6 +450,8 @@
       });
 }
 
-std::size_t HttpServer::openRequests() const { return m_Impl->m_Open.load(); }
+std::size_t HttpServer::openRequests() const {
+  return m_Impl->m_OpenRequests.load();
+}
 
 } // namespace deckpitch::net
--- a/src/net/http.h
+++ b/src/net/http.h
@@ -1,4 +1,5 @@
-// HTTP/1.1 server and client as coroutines; Beast stays in the .cc files.
+// Coroutine-based HTTP/1.1 server and client. Boost.Beast is included only by
+// the .cc files.
 #pragma once
 
 #include "deckpitch/error.h"
@@ -24,11 +25,11 @@
   std::string m_Value;
 };
 
-/// Headers in order; names compare without case.
+/// HTTP headers in their original order. Names are case-insensitive.
 struct HttpHeaders {
   std::vector<HttpHeader> m_List;
 
-  /// The first value of that name, or empty.
+  /// Returns the value of the first header of that name, or an empty view.
   std::string_view find(std::string_view Name) const;
   void add(std::string Name, std::string Value) {
     m_List.push_back({std::move(Name), std::move(Value)});
@@ -41,9 +42,10 @@
   HttpHeaders m_Headers;
   std::string m_Body;
 
-  /// The target without its query.
+  /// Returns the target without its query string.
   std::string_view path() const;
-  /// The decoded value of a query parameter, or empty.
+  /// Returns the percent-decoded value of a query parameter, or an empty
+  /// string.
   std::string query(std::string_view Name) const;
 };
 
@@ -55,22 +57,24 @@
 
 HttpResponse jsonResponse(unsigned Status, std::string Json);
 
-/// Writes the answer to one request. Every call returns false, or does
-/// nothing, once the client is gone.
+/// Writes the response to one request. Once the client has disconnected, every
+/// call returns false or has no effect.
 class HttpResponder {
 public:
   virtual ~HttpResponder() = default;
-  /// Sends a whole answer.
+  /// Sends a complete response.
   virtual asio::awaitable<bool> send(HttpResponse Response) = 0;
-  /// Starts a chunked answer; then write() and end().
+  /// Starts a chunked response, which is continued with write() and finished
+  /// with end().
   virtual asio::awaitable<bool> begin(unsigned Status, HttpHeaders Headers) = 0;
   virtual asio::awaitable<bool> write(std::string_view Data) = 0;
   virtual asio::awaitable<bool> end() = 0;
-  /// Breaks the connection: the client sees that the answer is not whole.
+  /// Shuts the connection down, so that the client detects an incomplete
+  /// response.
   virtual void abort() = 0;
   virtual bool started() const = 0;
-  /// Calls back, at most once, when the client goes away before the answer's
-  /// end.
+  /// Sets the callback that is invoked, at most once, if the client disconnects
+  /// before the end of the response.
   virtual void onGone(std::function<void()> Callback) = 0;
 };
 
@@ -81,17 +85,18 @@
   std::size_t m_HeaderBytes = std::size_t{16} * 1024;
   std::size_t m_BodyBytes = std::size_t{4} * 1024 * 1024;
   std::chrono::milliseconds m_HeaderTimeout{
-      10'000}; ///< for a whole request to arrive
+      10'000}; ///< to receive a complete request
   std::chrono::milliseconds m_IdleTimeout{60'000};  ///< between requests
-  std::chrono::milliseconds m_WriteTimeout{30'000}; ///< without progress
+  std::chrono::milliseconds m_WriteTimeout{30'000}; ///< for each write
   std::size_t m_Connections = 20'000;
-  /// A client that closes its sending side wants no answer any more. Without
-  /// it the answer is still sent, and probed for with interim responses.
+  /// Treats a client that closes its sending side as disconnected. Otherwise
+  /// the response is still sent, and interim responses (100 Continue) probe
+  /// whether the client is still there.
   bool m_HalfClosedIsGone = false;
 };
 
-/// Serves each connection on one worker. A connection answers one request at
-/// a time, so answers cannot be exchanged.
+/// An HTTP/1.1 server. Each connection is served on one worker and processes
+/// one request at a time, so that responses keep the order of their requests.
 class HttpServer {
 public:
   HttpServer(IoThreads &Threads, HttpHandler Handler, HttpLimits Limits = {});
@@ -99,15 +104,17 @@
   HttpServer(const HttpServer &) = delete;
   HttpServer &operator=(const HttpServer &) = delete;
 
-  /// Listens on "ip:port"; gives the bound address.
+  /// Listens on "ip:port" and returns the bound address.
   Result<std::string> listen(const std::string &Address);
-  /// For requests that come from now on.
+  /// Sets the limits for requests received from now on.
   void setLimits(HttpLimits Limits);
-  /// Takes new connections still, but closes each after its next answer.
+  /// Closes each connection after its next response; new connections are still
+  /// accepted.
   void closeAfterAnswers();
-  /// Refuses new connections and closes each connection after its answer.
+  /// Refuses new connections and closes each open one after its current
+  /// response, or at once if it is idle.
   void drain();
-  /// Closes everything at once.
+  /// Closes the listening socket and all connections immediately.
   void stop();
   std::size_t openRequests() const;
 
@@ -120,36 +127,39 @@
 struct CallLimits {
   std::chrono::milliseconds m_Connect{1'000};
   std::chrono::milliseconds m_FirstByte{
-      30'000}; ///< request sent to headers read
+      30'000}; ///< to send the request, and again to read the headers
   std::chrono::milliseconds m_BetweenBytes{30'000};
   std::size_t m_BodyBytes = std::size_t{64} * 1024 * 1024;
-  /// A kept connection that rested longer is not used: servers drop idle ones,
-  /// and what was sent on one that was just dropped may or may not have run.
+  /// A pooled connection that was idle for longer is not reused: servers close
+  /// idle connections, and a request sent on one that was just closed may or
+  /// may not have been processed.
   std::chrono::milliseconds m_MostIdle{30'000};
-  /// Whether the connection is kept for later calls. Not to servers that take
-  /// few connections from many callers.
+  /// Whether the connection is pooled for later calls. Disable it for servers
+  /// that accept few connections and have many callers.
   bool m_KeepsConnection = true;
-  /// A GET on a kept connection that turned out closed is sent again.
+  /// Whether a GET is retried if the server had already closed the pooled
+  /// connection it was sent on.
   bool m_RepeatsGet = true;
 };
 
-/// An answer whose body is read piece by piece. Dropping it before its end
-/// closes the connection, which tells the server that nobody listens.
+/// A response whose body is read in pieces. Destroying it before the end of
+/// the body closes the connection, which signals the cancellation to the
+/// server.
 class HttpStream {
 public:
   virtual ~HttpStream() = default;
   virtual unsigned status() const = 0;
   virtual const HttpHeaders &headers() const = 0;
-  /// The next piece; empty at the end of a whole answer.
+  /// Reads the next piece, which is empty at the end of a complete response.
   virtual asio::awaitable<Outcome<std::string>> read() = 0;
-  /// How long the next reads wait for bytes.
+  /// Sets how long each later read waits for data.
   virtual void setBetweenBytes(std::chrono::milliseconds Limit) = 0;
-  /// Ends a pending read; on the thread that reads.
+  /// Cancels a pending read. Must be called on the thread that reads.
   virtual void cancel() = 0;
 };
 
-/// Ends one call from outside, also while it waits for its answer's head. Used
-/// on the loop that makes the call, and outlives the call.
+/// Cancels one call, also while it waits for the response headers. Must be used
+/// on the event loop that makes the call, and must outlive the call.
 class CallCancel {
 public:
   void cancel() {
@@ -158,7 +168,7 @@
       Abort();
   }
   bool cancelled() const { return m_Cancelled; }
-  /// What cancel() does to the step of the call that is under way.
+  /// Sets how cancel() aborts the operation that the call is waiting for.
   void onCancel(std::function<void()> Abort) { m_Abort = std::move(Abort); }
 
 private:
@@ -166,11 +176,11 @@
   std::function<void()> m_Abort;
 };
 
-/// Keeps connections for reuse, apart for each loop: a call runs wholly on the
-/// loop of the coroutine that makes it. A call is never repeated by the client,
-/// but for a GET on a kept connection that turned out closed. Errors:
-/// Unavailable when the request cannot have reached the server, Timeout when it
-/// may have.
+/// An HTTP/1.1 client with a connection pool for each event loop: a call runs
+/// entirely on the loop of the coroutine that makes it. The client never
+/// retries a call, except for a GET on a pooled connection that the server had
+/// already closed. Errors: Unavailable if the request cannot have reached the
+/// server, Timeout if it may have.
 class HttpClient {
 public:
   HttpClient();
@@ -190,7 +200,8 @@
   std::shared_ptr<Impl> m_Impl;
 };
 
-/// Runs one call on an io_context of its own; for tools and tests.
+/// Makes one call on an io_context of its own and blocks until it completes.
+/// Meant for tools and tests.
 Outcome<HttpResponse> callAndWait(const std::string &Address,
                                   HttpRequest Request, CallLimits Limits = {});
 
--- a/src/net/io-threads.cc
+++ b/src/net/io-threads.cc
@@ -27,8 +27,8 @@
 boost::asio::io_context &IoThreads::nextWorker() {
   if (m_Loops.size() == 1)
     return control();
-  const std::size_t Turn = m_Next.fetch_add(1, std::memory_order_relaxed);
-  return m_Loops[1 + Turn % (m_Loops.size() - 1)]->m_Io;
+  const std::size_t Index = m_Next.fetch_add(1, std::memory_order_relaxed);
+  return m_Loops[1 + Index % (m_Loops.size() - 1)]->m_Io;
 }
 
 } // namespace deckpitch::net
--- a/src/net/io-threads.h
+++ b/src/net/io-threads.h
@@ -1,4 +1,4 @@
-// A fixed set of event loops, each run by one thread of its own.
+// A fixed set of event loops, each run by a dedicated thread.
 #pragma once
 
 #include <boost/asio/executor_work_guard.hpp>
@@ -11,9 +11,10 @@
 
 namespace deckpitch::net {
 
-/// Each io_context is run by exactly one thread, so what lives on one needs
-/// no lock and no strand. The control loop runs the decisions; the workers
-/// run requests and bulk transfers.
+/// Runs one control loop and a number of worker loops. Each io_context is run
+/// by exactly one thread, so objects confined to one need no lock and no
+/// strand. The control loop makes the decisions; the workers handle requests
+/// and bulk transfers.
 ///
 ///   IoThreads Threads(4);
 ///   Threads.start();
@@ -26,18 +27,19 @@
   IoThreads &operator=(const IoThreads &) = delete;
 
   void start();
-  /// Ends all loops, joins the threads and destroys every handler and
-  /// coroutine that still waits, while what they refer to is alive; safe to
-  /// repeat.
+  /// Stops all loops, joins the threads and destroys every pending handler and
+  /// coroutine, so that the objects they refer to may be destroyed afterwards.
+  /// May be called repeatedly.
   void stop();
 
   boost::asio::io_context &control() { return m_Loops.front()->m_Io; }
-  /// Workers in turn; the control loop when there are none.
+  /// Returns the workers in round-robin order, or the control loop if there are
+  /// no workers.
   boost::asio::io_context &nextWorker();
 
 private:
-  /// Lets handlers be destroyed before any loop is: those of one loop may own
-  /// sockets of another.
+  /// Allows destroying handlers before any loop is destroyed, since a handler
+  /// of one loop may own sockets of another.
   struct LoopContext : boost::asio::io_context {
     LoopContext() : io_context(1) {}
     void destroyHandlers() { shutdown(); }
--- a/src/net/progress-limit.cc
+++ b/src/net/progress-limit.cc
@@ -10,9 +10,10 @@
 
 using SteadyClock = std::chrono::steady_clock;
 
-constexpr auto Never = SteadyClock::time_point::max();
-/// One cancellation may come between two operations and end neither.
-constexpr std::chrono::milliseconds CancelAgainAfter{10};
+constexpr auto NoDeadline = SteadyClock::time_point::max();
+/// Cancellation is repeated, since a single one may fall between two operations
+/// and end neither.
+constexpr std::chrono::milliseconds CancelRetryInterval{10};
 
 } // namespace
 
@@ -26,28 +27,28 @@
     m_Timer.async_wait(
         [Self = shared_from_this()](const boost::system::error_code &Ec) {
           if (!Ec)
-            Self->ranOut();
+            Self->onTimer();
         });
   }
 
-  void ranOut() {
-    m_ArmedAt = Never;
-    if (!m_Socket || m_At == Never)
+  void onTimer() {
+    m_ArmedAt = NoDeadline;
+    if (!m_Socket || m_Deadline == NoDeadline)
       return;
     const auto Now = SteadyClock::now();
-    if (Now < m_At)
-      return arm(m_At);
-    m_Passed = true;
+    if (Now < m_Deadline)
+      return arm(m_Deadline);
+    m_Expired = true;
     boost::system::error_code Ignored;
     m_Socket->cancel(Ignored);
-    arm(Now + CancelAgainAfter);
+    arm(Now + CancelRetryInterval);
   }
 
-  asio::ip::tcp::socket *m_Socket; ///< null when its owner is gone
+  asio::ip::tcp::socket *m_Socket; ///< null once its owner is destroyed
   asio::steady_timer m_Timer;
-  SteadyClock::time_point m_At = Never;
-  SteadyClock::time_point m_ArmedAt = Never;
-  bool m_Passed = false;
+  SteadyClock::time_point m_Deadline = NoDeadline;
+  SteadyClock::time_point m_ArmedAt = NoDeadline;
+  bool m_Expired = false;
 };
 
 ProgressLimit::ProgressLimit(asio::ip::tcp::socket &Socket)
@@ -60,22 +61,22 @@
 
 void ProgressLimit::expiresAfter(SteadyClock::duration Time) {
   State &Own = *m_State;
-  Own.m_Passed = false;
-  Own.m_At = SteadyClock::now() + Time;
-  if (Own.m_At < Own.m_ArmedAt)
-    Own.arm(Own.m_At);
+  Own.m_Expired = false;
+  Own.m_Deadline = SteadyClock::now() + Time;
+  if (Own.m_Deadline < Own.m_ArmedAt)
+    Own.arm(Own.m_Deadline);
 }
 
-void ProgressLimit::pause() { m_State->m_At = Never; }
+void ProgressLimit::pause() { m_State->m_Deadline = NoDeadline; }
 
 void ProgressLimit::stop() {
   pause();
-  if (m_State->m_ArmedAt == Never)
+  if (m_State->m_ArmedAt == NoDeadline)
     return;
-  m_State->m_ArmedAt = Never;
+  m_State->m_ArmedAt = NoDeadline;
   m_State->m_Timer.cancel();
 }
 
-bool ProgressLimit::passed() const { return m_State->m_Passed; }
+bool ProgressLimit::expired() const { return m_State->m_Expired; }
 
 } // namespace deckpitch::net
--- a/src/net/progress-limit.h
+++ b/src/net/progress-limit.h
@@ -1,4 +1,4 @@
-// A time limit for what a connection waits for.
+// A timeout for the pending operations of a socket.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -8,10 +8,11 @@
 
 namespace deckpitch::net {
 
-/// Cancels a socket's operations when they take too long. Moving the limit
-/// forward is a store: its one timer is set anew only when it runs out, since
-/// setting and cancelling a timer for each read and write costs more than
-/// either. Used on the socket's loop; the socket outlives it.
+/// Cancels the pending operations of a socket at a deadline. Extending the
+/// deadline only stores a time point, and the single timer is rearmed when it
+/// fires, since setting and cancelling a timer for each read and write costs
+/// more than the operation itself. Must be used on the event loop of the
+/// socket, which must outlive it.
 class ProgressLimit {
 public:
   explicit ProgressLimit(boost::asio::ip::tcp::socket &Socket);
@@ -19,13 +20,15 @@
   ProgressLimit(const ProgressLimit &) = delete;
   ProgressLimit &operator=(const ProgressLimit &) = delete;
 
+  /// Sets the deadline, relative to now.
   void expiresAfter(std::chrono::steady_clock::duration Time);
-  /// No limit until the next one is set.
+  /// Clears the deadline until the next expiresAfter().
   void pause();
-  /// As pause(), and leaves nothing pending on the loop.
+  /// Clears the deadline and cancels the timer, so that nothing remains pending
+  /// on the event loop.
   void stop();
-  /// The limit that was set last has passed.
-  bool passed() const;
+  /// Returns true if the deadline set last has expired.
+  bool expired() const;
 
 private:
   struct State;
--- a/src/net/text-file.h
+++ b/src/net/text-file.h
@@ -1,4 +1,4 @@
-// Reads a whole file, for programs at their start.
+// Reads a complete file, for use at program start.
 #pragma once
 
 #include <optional>
@@ -6,7 +6,7 @@
 
 namespace deckpitch::net {
 
-/// The file's content; nothing when it cannot be read.
+/// Returns the content of the file, or nullopt if it cannot be read.
 std::optional<std::string> readTextFile(const std::string &Path);
 
 } // namespace deckpitch::net
--- a/test/deflate-test.cc
+++ b/test/deflate-test.cc
@@ -6,9 +6,10 @@
 
 namespace {
 
-constexpr std::size_t Most = std::size_t{1} << 20;
+constexpr std::size_t MaxTextBytes = std::size_t{1} << 20;
 
-/// Like a declaration: the same words around names that differ.
+/// Returns text like that of a declaration: the same words around different
+/// names.
 std::string routes(std::size_t Count) {
   std::string Out;
   for (std::size_t I = 0; I < Count; ++I)
@@ -17,11 +18,12 @@
   return Out;
 }
 
-constexpr std::size_t MostInstances = 40;
+constexpr std::size_t MaxInstances = 40;
 constexpr std::size_t FirstPort = 12'000;
-constexpr std::size_t Ports = 100;
+constexpr std::size_t PortCount = 100;
 
-/// Like a list of instances: all beside one port, and each with a name.
+/// Returns text like an encoded list of instances, each with a name of its own
+/// and all on one port.
 std::string instances(std::size_t Count, std::size_t Port) {
   std::string Out;
   for (std::size_t I = 0; I < Count; ++I)
@@ -30,57 +32,58 @@
   return Out;
 }
 
-TEST(Deflate, GivesBackWhatItWasGiven) {
+TEST(Deflate, RoundTripsText) {
   for (const std::string &Text :
        {std::string(), std::string("x"), std::string(200'000, 'a'),
         std::string("\0\xff\x80 binary", 10), routes(10'000)}) {
-    const auto Back = net::inflate(net::deflate(Text), Most);
-    ASSERT_TRUE(Back) << Back.error().m_Message;
-    EXPECT_EQ(*Back, Text);
+    const auto Restored = net::inflate(net::deflate(Text), MaxTextBytes);
+    ASSERT_TRUE(Restored) << Restored.error().m_Message;
+    EXPECT_EQ(*Restored, Text);
   }
 }
 
-/// An entry that the store turned away refused all requests for as long as the
-/// list of instances stayed the same: the only entry that had the list gave it
-/// packed, and it could not be unpacked. Of a trace, for 60 s:
-///   fetched from 127.0.0.1:18827: "compressed text: cut off"
-/// zlib unpacks the same bytes. The library's inflate looks up each code by
-/// nine bits and takes a stream for cut off whose last code and padding are
-/// shorter: which streams these are depends on the addresses in the list.
-TEST(Deflate, GivesBackTextsOfAnyEnd) {
-  std::size_t Lost = 0;
-  for (std::size_t Count = 1; Count <= MostInstances; ++Count)
-    for (std::size_t Port = FirstPort; Port < FirstPort + Ports; ++Port) {
+// Guards against an inflate that rejects complete streams as truncated. Boost's
+// inflate looks up each code by nine bits, and fails (zlib does not) if the
+// last code and its padding are shorter; which streams these are depends on the
+// addresses in the list. An entry that the store rejected, and that could only
+// fetch such a list from another entry, refused all requests until the list of
+// instances changed (60 s in one trace).
+TEST(Deflate, RoundTripsStreamsWithAnyFinalCode) {
+  std::size_t Mismatches = 0;
+  for (std::size_t Count = 1; Count <= MaxInstances; ++Count)
+    for (std::size_t Port = FirstPort; Port < FirstPort + PortCount; ++Port) {
       const std::string Text = instances(Count, Port);
-      const auto Back = net::inflate(net::deflate(Text), Most);
-      Lost += Back && *Back == Text ? 0 : 1;
+      const auto Restored = net::inflate(net::deflate(Text), MaxTextBytes);
+      Mismatches += Restored && *Restored == Text ? 0 : 1;
     }
-  EXPECT_EQ(Lost, 0U);
+  EXPECT_EQ(Mismatches, 0U);
 }
 
-/// Of each of these, what is missing at the end is noticed to the byte.
-TEST(Deflate, RefusesEachCutOfTextsOfAnyEnd) {
-  for (std::size_t Port = FirstPort; Port < FirstPort + Ports; ++Port) {
-    const std::string Whole = net::deflate(instances(3, Port));
-    for (std::size_t Length = 0; Length < Whole.size(); ++Length)
-      EXPECT_FALSE(net::inflate(Whole.substr(0, Length), Most))
+// The padding that inflate() appends must not hide a truncation of even one
+// byte.
+TEST(Deflate, RejectsStreamsTruncatedAtAnyByte) {
+  for (std::size_t Port = FirstPort; Port < FirstPort + PortCount; ++Port) {
+    const std::string Compressed = net::deflate(instances(3, Port));
+    for (std::size_t Length = 0; Length < Compressed.size(); ++Length)
+      EXPECT_FALSE(net::inflate(Compressed.substr(0, Length), MaxTextBytes))
           << Port << " " << Length;
   }
 }
 
-TEST(Deflate, MakesADeclarationMuchSmaller) {
+TEST(Deflate, CompressesADeclaration) {
   const std::string Text = routes(4'000);
   EXPECT_LT(net::deflate(Text).size(), Text.size() / 8);
 }
 
-TEST(Deflate, RefusesWhatIsCutOffOrNoStream) {
-  const std::string Whole = net::deflate(routes(1'000));
-  for (std::size_t Length = 0; Length < Whole.size(); Length += 97)
-    EXPECT_FALSE(net::inflate(Whole.substr(0, Length), Most)) << Length;
-  EXPECT_FALSE(net::inflate("\xff\xff\xff\xff", Most));
+TEST(Deflate, RejectsTruncatedOrInvalidStreams) {
+  const std::string Compressed = net::deflate(routes(1'000));
+  for (std::size_t Length = 0; Length < Compressed.size(); Length += 97)
+    EXPECT_FALSE(net::inflate(Compressed.substr(0, Length), MaxTextBytes))
+        << Length;
+  EXPECT_FALSE(net::inflate("\xff\xff\xff\xff", MaxTextBytes));
 }
 
-TEST(Deflate, RefusesMoreTextThanWasAgreed) {
+TEST(Deflate, RejectsTextLongerThanTheLimit) {
   const std::string Bytes = net::deflate(std::string(100'000, 'a'));
   EXPECT_TRUE(net::inflate(Bytes, 100'000));
   const auto Refused = net::inflate(Bytes, 99'999);
--- a/test/http-client-test.cc
+++ b/test/http-client-test.cc
@@ -15,7 +15,8 @@
 
 namespace {
 
-/// Does one thing for each connection in turn, on a thread of its own.
+/// Accepts one connection for each step and runs the step on it, on a thread of
+/// its own.
 class ScriptedServer {
 public:
   using Step = std::function<void(tcp::socket &)>;
@@ -30,7 +31,8 @@
             Each(Socket);
           }
         }) {}
-  /// A connection that never came must not hold up the end.
+  /// Shuts the acceptor down, so that the thread ends even if a step never got
+  /// a connection.
   ~ScriptedServer() { ::shutdown(m_Acceptor.native_handle(), SHUT_RDWR); }
 
   std::string address() const {
@@ -43,28 +45,30 @@
   std::jthread m_Thread;
 };
 
-/// Reads one request's header and sends these bytes.
-void answerOnce(tcp::socket &Socket, const std::string &Bytes) {
+/// Reads the header of one request and sends the bytes.
+void readHeaderAndRespond(tcp::socket &Socket, const std::string &Bytes) {
   boost::system::error_code Ec;
   std::string Header;
   asio::read_until(Socket, asio::dynamic_buffer(Header), "\r\n\r\n", Ec);
   asio::write(Socket, asio::buffer(Bytes), Ec);
 }
 
-/// Waits until the client closes.
-void untilClosed(tcp::socket &Socket) {
+/// Waits until the client closes the connection.
+void waitUntilClosed(tcp::socket &Socket) {
   boost::system::error_code Ec;
   std::array<char, 64> Sink;
   while (!Ec)
     Socket.read_some(asio::buffer(Sink), Ec);
 }
 
-const std::string Whole = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
+const std::string CompleteResponse =
+    "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
 
-/// Runs calls one after another on one loop, so that connections are kept.
+/// Makes the calls one after another on one event loop, so that connections are
+/// reused.
 std::vector<Outcome<HttpResponse>>
-callInTurn(const std::string &Address,
-           const std::vector<std::string> &Methods) {
+callSequentially(const std::string &Address,
+                 const std::vector<std::string> &Methods) {
   asio::io_context Io;
   HttpClient Client;
   std::vector<Outcome<HttpResponse>> Answers;
@@ -82,51 +86,57 @@
   return Answers;
 }
 
-void answerThenCloseAtTheNextRequest(tcp::socket &Socket) {
-  answerOnce(Socket, Whole);
-  answerOnce(Socket, "");
+void respondThenCloseOnNextRequest(tcp::socket &Socket) {
+  readHeaderAndRespond(Socket, CompleteResponse);
+  readHeaderAndRespond(Socket, "");
 }
 
-TEST(HttpClientContract, RepeatsAGetOnAKeptConnectionThatWasClosed) {
+TEST(HttpClientContract, RetriesAGetOnAPooledConnectionThatWasClosed) {
   ScriptedServer Server(
-      {answerThenCloseAtTheNextRequest,
-       [](tcp::socket &Socket) { answerOnce(Socket, Whole); }});
-  const auto Answers = callInTurn(Server.address(), {"GET", "GET"});
+      {respondThenCloseOnNextRequest, [](tcp::socket &Socket) {
+         readHeaderAndRespond(Socket, CompleteResponse);
+       }});
+  const auto Answers = callSequentially(Server.address(), {"GET", "GET"});
   ASSERT_TRUE(Answers[0]);
   ASSERT_TRUE(Answers[1]);
   EXPECT_EQ(Answers[1]->m_Body, "ok");
 }
 
-TEST(HttpClientContract, NeverRepeatsAPost) {
+TEST(HttpClientContract, NeverRetriesAPost) {
   ScriptedServer Server(
-      {answerThenCloseAtTheNextRequest,
-       [](tcp::socket &Socket) { answerOnce(Socket, Whole); }});
-  const auto Answers = callInTurn(Server.address(), {"POST", "POST"});
+      {respondThenCloseOnNextRequest, [](tcp::socket &Socket) {
+         readHeaderAndRespond(Socket, CompleteResponse);
+       }});
+  const auto Answers = callSequentially(Server.address(), {"POST", "POST"});
   ASSERT_TRUE(Answers[0]);
   ASSERT_FALSE(Answers[1]);
   EXPECT_EQ(Answers[1].error().m_Code, ErrorCode::Timeout);
 }
 
-// The bytes after the first answer are what a late answer looks like.
-TEST(HttpClientContract, DropsAConnectionThatBroughtMoreThanItsAnswer) {
+// A response that arrives late must not be taken for that of the next request.
+// Surplus bytes after the first response stand for it.
+TEST(HttpClientContract, DropsAConnectionWithDataAfterTheResponse) {
   const std::string Late = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate";
-  ScriptedServer Server(
-      {[&](tcp::socket &Socket) {
-         answerOnce(Socket, Whole + Late);
-         untilClosed(Socket);
-       },
-       [](tcp::socket &Socket) { answerOnce(Socket, Whole); }});
-  const auto Answers = callInTurn(Server.address(), {"POST", "POST"});
+  ScriptedServer Server({[&](tcp::socket &Socket) {
+                           readHeaderAndRespond(Socket,
+                                                CompleteResponse + Late);
+                           waitUntilClosed(Socket);
+                         },
+                         [](tcp::socket &Socket) {
+                           readHeaderAndRespond(Socket, CompleteResponse);
+                         }});
+  const auto Answers = callSequentially(Server.address(), {"POST", "POST"});
   ASSERT_TRUE(Answers[0]);
   ASSERT_TRUE(Answers[1]);
   EXPECT_EQ(Answers[0]->m_Body, "ok");
   EXPECT_EQ(Answers[1]->m_Body, "ok");
 }
 
-TEST(HttpClientContract, ReadsChunksThatComeTogetherAsOnePiece) {
+TEST(HttpClientContract, ReturnsBufferedChunksAsOnePiece) {
   ScriptedServer Server({[](tcp::socket &Socket) {
-    answerOnce(Socket, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-                       "2\r\nab\r\n1;x=y\r\nc\r\n3\r\ndef\r\n0\r\n\r\n");
+    readHeaderAndRespond(Socket,
+                         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+                         "2\r\nab\r\n1;x=y\r\nc\r\n3\r\ndef\r\n0\r\n\r\n");
   }});
   asio::io_context Io;
   HttpClient Client;
@@ -148,39 +158,39 @@
   EXPECT_EQ(*Pieces[2], "");
 }
 
-TEST(HttpClientContract, ReadsChunksThatAreCutAnywhere) {
+TEST(HttpClientContract, ReadsChunksSplitAtAnyByte) {
   const std::string Sent =
       "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
       "2\r\nab\r\n1\r\nc\r\n0\r\n\r\n";
-  for (std::size_t Cut = 1; Cut < Sent.size(); ++Cut) {
+  for (std::size_t SplitAt = 1; SplitAt < Sent.size(); ++SplitAt) {
     ScriptedServer Server({[&](tcp::socket &Socket) {
       boost::system::error_code Ignored;
-      answerOnce(Socket, Sent.substr(0, Cut));
+      readHeaderAndRespond(Socket, Sent.substr(0, SplitAt));
       std::this_thread::sleep_for(1ms);
-      asio::write(Socket, asio::buffer(Sent.substr(Cut)), Ignored);
+      asio::write(Socket, asio::buffer(Sent.substr(SplitAt)), Ignored);
     }});
     const auto Answer = callAndWait(Server.address(), {});
-    ASSERT_TRUE(Answer) << Cut;
-    EXPECT_EQ(Answer->m_Body, "abc") << Cut;
+    ASSERT_TRUE(Answer) << SplitAt;
+    EXPECT_EQ(Answer->m_Body, "abc") << SplitAt;
   }
 }
 
-TEST(HttpClientContract, ReadsABodyThatEndsWithTheConnection) {
+TEST(HttpClientContract, ReadsABodyDelimitedByConnectionClose) {
   ScriptedServer Server({[](tcp::socket &Socket) {
-    answerOnce(Socket,
-               "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nto the end");
+    readHeaderAndRespond(
+        Socket, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nto the end");
   }});
   const auto Answer = callAndWait(Server.address(), {});
   ASSERT_TRUE(Answer);
   EXPECT_EQ(Answer->m_Body, "to the end");
 }
 
-TEST(HttpClientContract, CancelEndsACallThatWaitsForItsAnswer) {
-  std::atomic<bool> Asked{false};
+TEST(HttpClientContract, CancelEndsACallAwaitingItsResponse) {
+  std::atomic<bool> RequestReceived{false};
   ScriptedServer Server({[&](tcp::socket &Socket) {
-    answerOnce(Socket, "");
-    Asked = true;
-    untilClosed(Socket);
+    readHeaderAndRespond(Socket, "");
+    RequestReceived = true;
+    waitUntilClosed(Socket);
   }});
   asio::io_context Io;
   HttpClient Client;
@@ -196,7 +206,7 @@
             Server.address(), std::move(Request), Limits, &Cancel));
       },
       asio::detached);
-  while (!Asked)
+  while (!RequestReceived)
     Io.run_one_for(1ms);
   Cancel.cancel();
   Io.run();
@@ -225,7 +235,7 @@
   EXPECT_EQ(Ended[0].error().m_Code, ErrorCode::Unavailable);
 }
 
-TEST(HttpClientContract, SaysUnavailableWhenNobodyListens) {
+TEST(HttpClientContract, ReportsUnavailableWhenNothingListens) {
   const auto Answer = callAndWait("127.0.0.1:1", {});
   ASSERT_FALSE(Answer);
   EXPECT_EQ(Answer.error().m_Code, ErrorCode::Unavailable);
@@ -239,10 +249,12 @@
 
 class HttpClientAnswers : public testing::TestWithParam<AnswerCase> {};
 
-// The request may have been run: none of these is an answer, nor a refusal.
-TEST_P(HttpClientAnswers, AreNotTakenForWhole) {
-  ScriptedServer Server(
-      {[](tcp::socket &Socket) { answerOnce(Socket, GetParam().m_Sent); }});
+// The server may have processed the request, so a truncated or invalid response
+// must be reported as Timeout, neither as success nor as Unavailable.
+TEST_P(HttpClientAnswers, AreNotAcceptedAsComplete) {
+  ScriptedServer Server({[](tcp::socket &Socket) {
+    readHeaderAndRespond(Socket, GetParam().m_Sent);
+  }});
   const auto Answer = callAndWait(Server.address(), {});
   ASSERT_FALSE(Answer);
   EXPECT_EQ(Answer.error().m_Code, ErrorCode::Timeout);
@@ -261,10 +273,11 @@
         AnswerCase{"Garbage", "SSH-2.0-OpenSSH\r\n", false}),
     [](const auto &Info) { return std::string(Info.param.m_Name); });
 
-TEST(HttpClientContract, GivesUpWhenAnAnswerStalls) {
+TEST(HttpClientContract, TimesOutWhenAResponseStalls) {
   ScriptedServer Server({[](tcp::socket &Socket) {
-    answerOnce(Socket, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nab");
-    untilClosed(Socket);
+    readHeaderAndRespond(Socket,
+                         "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nab");
+    waitUntilClosed(Socket);
   }});
   CallLimits Limits;
   Limits.m_BetweenBytes = 20ms;
@@ -274,10 +287,11 @@
   EXPECT_FALSE(Answer.error().m_IsPeerEnd);
 }
 
-TEST(HttpClientContract, CancelEndsAPendingReadAndTellsTheServer) {
+TEST(HttpClientContract, CancelEndsAPendingReadAndClosesTheConnection) {
   ScriptedServer Server({[](tcp::socket &Socket) {
-    answerOnce(Socket, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nab");
-    untilClosed(Socket);
+    readHeaderAndRespond(Socket,
+                         "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nab");
+    waitUntilClosed(Socket);
   }});
   asio::io_context Io;
   HttpClient Client;
--- a/test/http-script.h
+++ b/test/http-script.h
@@ -1,4 +1,4 @@
-// Fault cases as tables of HTTP calls and the answers they must get.
+// Fault cases as tables of HTTP calls and their expected responses.
 #pragma once
 
 #include "harness.h"
@@ -10,14 +10,15 @@
 
 namespace deckpitch::test {
 
-/// One call; a status of 0 stands for a connection that breaks.
+/// One call and its expected response. A status of 0 means that the connection
+/// must break.
 struct HttpStep {
   std::string m_Method;
   std::string m_Target;
   std::string m_Header; ///< "Name: value", or empty
   std::string m_Body;
   unsigned m_Status = 200;
-  std::string m_Contains; ///< part of the answer's body
+  std::string m_Contains; ///< expected part of the response body
 };
 
 struct HttpScript {
@@ -56,16 +57,17 @@
   return Info.param.m_Name;
 }
 
-/// One stand-in for each test, so that no row depends on another.
+/// Starts a separate stand-in for each test, so that no row depends on another.
 class StandInScript : public testing::TestWithParam<HttpScript> {
 protected:
   void runOn(const std::string &Kind) {
     Child Process("deckpitch-standins",
                   {"--kind=" + Kind, "--engines=1", "--services=1", "--slots=1",
                    "--store_requests_per_second=2"});
-    const boost::json::object Said = Process.announcement();
-    ASSERT_TRUE(Said.contains("address"));
-    run(std::string(Said.at("address").get_string().c_str()), GetParam());
+    const boost::json::object Announcement = Process.announcement();
+    ASSERT_TRUE(Announcement.contains("address"));
+    run(std::string(Announcement.at("address").get_string().c_str()),
+        GetParam());
     EXPECT_EQ(Process.stop(), 0);
   }
 };
--- a/test/http-server-test.cc
+++ b/test/http-server-test.cc
@@ -65,7 +65,7 @@
   }
 
   asio::awaitable<void> waitForRelease(HttpResponder &Answer) {
-    Answer.onGone([this] { ++m_Gone; });
+    Answer.onGone([this] { ++m_Disconnects; });
     ++m_Waiting;
     asio::steady_timer Pause(co_await asio::this_coro::executor);
     while (!m_Released) {
@@ -75,7 +75,7 @@
     co_await sendText(Answer, "released");
   }
 
-  std::atomic<int> m_Gone{0};
+  std::atomic<int> m_Disconnects{0};
   std::atomic<int> m_Waiting{0};
   std::atomic<bool> m_Released{false};
   IoThreads m_Threads{2};
@@ -103,7 +103,7 @@
   EXPECT_NE(Client.readUntil("POST:2").find("POST:1"), std::string::npos);
 }
 
-TEST_F(HttpServerContract, StreamsInChunksThatEndWhole) {
+TEST_F(HttpServerContract, TerminatesAChunkedStream) {
   RawConnection Client(m_Address);
   Client.send("GET /stream HTTP/1.1\r\n\r\n");
   const std::string Read = Client.readUntil("0\r\n\r\n");
@@ -113,15 +113,15 @@
 struct RawCase {
   const char *m_Name;
   std::string m_Sent;
-  const char *m_Answer; ///< start of the status line
+  const char *m_Answer; ///< expected start of the status line
 };
 
 class HttpServerInput : public HttpServerContract,
                         public testing::WithParamInterface<RawCase> {};
 
-// Each answer is read to the end: the connection is closed after it, and the
-// server still serves others.
-TEST_P(HttpServerInput, GetsAClearAnswerAndHarmsNobody) {
+// Whatever a client sends, the server responds, closes the connection and keeps
+// serving others.
+TEST_P(HttpServerInput, GetsADefinedStatusWithoutAffectingOthers) {
   RawConnection Client(m_Address);
   Client.send(GetParam().m_Sent);
   const std::string Read = Client.readToEnd();
@@ -171,16 +171,16 @@
                 "HTTP/1.1 500 "}),
     [](const auto &Info) { return std::string(Info.param.m_Name); });
 
-TEST_F(HttpServerContract, TellsWhenAClientCloses) {
+TEST_F(HttpServerContract, ReportsAClientThatDisconnects) {
   RawConnection Client(m_Address);
   Client.send("GET /wait HTTP/1.1\r\n\r\n");
   ASSERT_TRUE(eventually([&] { return m_Waiting == 1; }));
   Client.close();
-  EXPECT_TRUE(eventually([&] { return m_Gone == 1; }));
+  EXPECT_TRUE(eventually([&] { return m_Disconnects == 1; }));
 }
 
-// The interim response shows that the server has seen the closed side.
-TEST_F(HttpServerContract, AHalfClosedClientGetsItsWholeAnswer) {
+// The interim response shows that the server has detected the half-close.
+TEST_F(HttpServerContract, AHalfClosedClientGetsTheCompleteResponse) {
   RawConnection Client(m_Address);
   Client.send("GET /wait HTTP/1.1\r\n\r\n");
   ASSERT_TRUE(eventually([&] { return m_Waiting == 1; }));
@@ -188,22 +188,22 @@
   EXPECT_NE(Client.readUntil("HTTP/1.1 100 Continue\r\n\r\n"), "");
   m_Released = true;
   EXPECT_NE(Client.readToEnd().find("released"), std::string::npos);
-  EXPECT_EQ(m_Gone, 0);
+  EXPECT_EQ(m_Disconnects, 0);
   EXPECT_TRUE(eventually([&] { return m_Server.openRequests() == 0; }));
 }
 
-TEST_F(HttpServerContract, TellsWhenAHalfClosedClientClosesLater) {
+TEST_F(HttpServerContract, ReportsAHalfClosedClientThatDisconnectsLater) {
   RawConnection Client(m_Address);
   Client.send("GET /wait HTTP/1.1\r\n\r\n");
   ASSERT_TRUE(eventually([&] { return m_Waiting == 1; }));
   Client.closeSending();
   EXPECT_NE(Client.readUntil("HTTP/1.1 100 Continue\r\n\r\n"), "");
-  EXPECT_EQ(m_Gone, 0);
+  EXPECT_EQ(m_Disconnects, 0);
   Client.close();
-  EXPECT_TRUE(eventually([&] { return m_Gone == 1; }));
+  EXPECT_TRUE(eventually([&] { return m_Disconnects == 1; }));
 }
 
-TEST_F(HttpServerContract, AHalfClosedOldClientGetsNoInterimResponse) {
+TEST_F(HttpServerContract, AHalfClosedHttp10ClientGetsNoInterimResponse) {
   RawConnection Client(m_Address);
   Client.send("GET /wait HTTP/1.0\r\n\r\n");
   ASSERT_TRUE(eventually([&] { return m_Waiting == 1; }));
@@ -214,8 +214,9 @@
   EXPECT_NE(Read.find("released"), std::string::npos) << Read;
 }
 
-// Each byte is progress, but the limit is for the whole request.
-TEST_F(HttpServerContract, CutsOffASlowSenderOfHeaders) {
+// A client that trickles bytes makes progress but must not hold the connection:
+// the timeout applies to the complete request.
+TEST_F(HttpServerContract, TimesOutASlowSenderOfHeaders) {
   RawConnection Client(m_Address);
   EXPECT_TRUE(eventually([&] {
     Client.send("A");
@@ -228,7 +229,7 @@
   EXPECT_EQ(Other->m_Status, 200U);
 }
 
-TEST_F(HttpServerContract, FinishesTheAnswerWhenItDrains) {
+TEST_F(HttpServerContract, CompletesPendingResponsesWhenDraining) {
   RawConnection Client(m_Address);
   Client.send("GET /wait HTTP/1.1\r\n\r\n");
   ASSERT_TRUE(eventually([&] { return m_Waiting == 1; }));
@@ -238,10 +239,10 @@
   m_Released = true;
   const std::string Read = Client.readToEnd();
   EXPECT_NE(Read.find("released"), std::string::npos) << Read;
-  EXPECT_EQ(m_Gone, 0);
+  EXPECT_EQ(m_Disconnects, 0);
 }
 
-TEST_F(HttpServerContract, ClosesIdleConnectionsWhenItDrains) {
+TEST_F(HttpServerContract, ClosesIdleConnectionsWhenDraining) {
   RawConnection Client(m_Address);
   Client.send("GET /echo HTTP/1.1\r\n\r\n");
   EXPECT_NE(Client.readUntil("GET:"), "");
--- a/test/io-threads-test.cc
+++ b/test/io-threads-test.cc
@@ -15,22 +15,23 @@
 
 namespace {
 
-asio::awaitable<void> answerNever(HttpRequest, HttpResponder &,
-                                  std::promise<void> &Arrived) {
-  Arrived.set_value();
+asio::awaitable<void> neverRespond(HttpRequest, HttpResponder &,
+                                   std::promise<void> &RequestReceived) {
+  RequestReceived.set_value();
   asio::steady_timer Never(co_await asio::this_coro::executor,
                            std::chrono::hours(1));
   co_await Never.async_wait(asio::use_awaitable);
 }
 
-// The coroutine of a connection lives on a worker and owns the server, whose
-// acceptor lives on the control loop: neither loop may be destroyed first.
+// The coroutine of a connection runs on a worker and co-owns the server, whose
+// acceptor belongs to the control loop. Destroying either loop while it still
+// has handlers would leave the other's sockets with a destroyed loop.
 TEST(IoThreads, DestroysHandlersThatOwnSocketsOfOtherLoops) {
-  std::promise<void> Arrived;
+  std::promise<void> RequestReceived;
   {
     IoThreads Threads(2);
     HttpServer Server(Threads, [&](HttpRequest Request, HttpResponder &Answer) {
-      return answerNever(std::move(Request), Answer, Arrived);
+      return neverRespond(std::move(Request), Answer, RequestReceived);
     });
     const auto Bound = outcomeOf([&] { return Server.listen("127.0.0.1:0"); });
     ASSERT_TRUE(Bound);
@@ -38,42 +39,45 @@
     CallLimits Limits;
     Limits.m_FirstByte = std::chrono::milliseconds(1);
     EXPECT_FALSE(callAndWait(*Bound, {}, Limits));
-    Arrived.get_future().wait();
+    RequestReceived.get_future().wait();
     Threads.stop();
   }
 }
 
-/// Notes its own end in what it refers to.
-class Witness {
+/// Sets the flag when it is destroyed.
+class DestructionObserver {
 public:
-  explicit Witness(bool &Ended) : m_Ended(Ended) {}
-  ~Witness() { m_Ended = true; }
-  Witness(const Witness &) = delete;
-  Witness &operator=(const Witness &) = delete;
+  explicit DestructionObserver(bool &Destroyed) : m_Destroyed(Destroyed) {}
+  ~DestructionObserver() { m_Destroyed = true; }
+  DestructionObserver(const DestructionObserver &) = delete;
+  DestructionObserver &operator=(const DestructionObserver &) = delete;
 
 private:
-  bool &m_Ended;
+  bool &m_Destroyed;
 };
 
-asio::awaitable<void> waitWith(bool &Ended, std::promise<void> &Waits) {
-  const Witness Held(Ended);
+asio::awaitable<void> waitForever(bool &Destroyed,
+                                  std::promise<void> &Waiting) {
+  const DestructionObserver Held(Destroyed);
   asio::steady_timer Never(co_await asio::this_coro::executor,
                            std::chrono::hours(1));
-  asio::post(Never.get_executor(), [&Waits] { Waits.set_value(); });
+  asio::post(Never.get_executor(), [&Waiting] { Waiting.set_value(); });
   co_await Never.async_wait(asio::use_awaitable);
 }
 
-// What a waiting coroutine refers to may go right after the loops have ended.
-TEST(IoThreads, StopEndsCoroutinesThatStillWait) {
+// Objects that a pending coroutine refers to may be destroyed right after
+// stop(), so stop() must destroy the coroutine.
+TEST(IoThreads, StopDestroysPendingCoroutines) {
   IoThreads Threads(1);
   Threads.start();
-  bool Ended = false;
-  std::promise<void> Waits;
-  asio::co_spawn(Threads.nextWorker(), waitWith(Ended, Waits), asio::detached);
-  Waits.get_future().wait();
-  EXPECT_FALSE(Ended);
+  bool Destroyed = false;
+  std::promise<void> Waiting;
+  asio::co_spawn(Threads.nextWorker(), waitForever(Destroyed, Waiting),
+                 asio::detached);
+  Waiting.get_future().wait();
+  EXPECT_FALSE(Destroyed);
   Threads.stop();
-  EXPECT_TRUE(Ended);
+  EXPECT_TRUE(Destroyed);
 }
 
 } // namespace
--- a/test/raw-connection.h
+++ b/test/raw-connection.h
@@ -1,4 +1,4 @@
-// A plain TCP connection that sends exactly what a test gives it.
+// A plain TCP connection that sends exactly the bytes that a test provides.
 #pragma once
 
 #include "net/address.h"
@@ -18,7 +18,8 @@
   explicit RawConnection(const std::string &Address) {
     m_Socket.connect(*net::parseEndpoint(Address));
   }
-  /// Takes no more from the server than this before it is read.
+  /// Limits the receive buffer, so that the server cannot send much more than
+  /// this before the test reads.
   RawConnection(const std::string &Address, int ReceiveBytes) {
     m_Socket.open(boost::asio::ip::tcp::v4());
     m_Socket.set_option(
@@ -26,7 +27,7 @@
     m_Socket.connect(*net::parseEndpoint(Address));
   }
 
-  /// False when the other side has closed already.
+  /// Returns false if the peer has already closed the connection.
   bool send(const std::string &Bytes) {
     boost::system::error_code Ec;
     boost::asio::write(m_Socket, boost::asio::buffer(Bytes), Ec);
@@ -39,7 +40,7 @@
   void close() { m_Socket.close(); }
 
   bool hasAnswer() { return m_Socket.available() > 0; }
-  /// Takes one byte; false at the end.
+  /// Appends one byte to To. Returns false at the end of the stream.
   bool readByte(std::string &To) {
     char Byte = 0;
     boost::system::error_code Ec;
@@ -49,17 +50,19 @@
     return true;
   }
 
-  /// Reads until what came contains the text; empty when the end came first.
+  /// Reads until the received data contains the text, and returns that data, or
+  /// an empty string if the stream ends first.
   std::string readUntil(const std::string &Text) {
-    while (m_Read.find(Text) == std::string::npos)
+    while (m_Received.find(Text) == std::string::npos)
       if (!readSome())
         return {};
-    return std::exchange(m_Read, {});
+    return std::exchange(m_Received, {});
   }
+  /// Returns all data up to the end of the stream.
   std::string readToEnd() {
     while (readSome())
       ;
-    return std::exchange(m_Read, {});
+    return std::exchange(m_Received, {});
   }
 
 private:
@@ -67,13 +70,13 @@
     std::string Piece(4096, '\0');
     boost::system::error_code Ec;
     Piece.resize(m_Socket.read_some(boost::asio::buffer(Piece), Ec));
-    m_Read += Piece;
+    m_Received += Piece;
     return !Ec;
   }
 
   boost::asio::io_context m_Io;
   boost::asio::ip::tcp::socket m_Socket{m_Io};
-  std::string m_Read;
+  std::string m_Received;
 };
 
 } // namespace deckpitch::test
