--- a/src/daemon/agent-requests.cc
+++ b/src/daemon/agent-requests.cc
@@ -288,7 +288,7 @@
   };
   const TimePoint End = now() + FenceTimeout;
   while (now() < End && IsAwaited())
-    co_await pauseFor(FencePollInterval);
+    co_await sleepFor(FencePollInterval);
 }
 
 asio::awaitable<void> AgentRequests::fence(net::HttpRequest Request,
--- a/src/daemon/pause.cc
+++ b/src/daemon/sleep.cc
@@ -1,4 +1,4 @@
-#include "daemon/pause.h"
+#include "daemon/sleep.h"
 
 #include <boost/asio.hpp>
 
@@ -6,7 +6,7 @@
 
 namespace asio = boost::asio;
 
-asio::awaitable<void> pauseFor(Duration Length) {
+asio::awaitable<void> sleepFor(Duration Length) {
   asio::steady_timer Timer(co_await asio::this_coro::executor);
   Timer.expires_after(Length);
   co_await Timer.async_wait(asio::as_tuple(asio::use_awaitable));
--- a/src/daemon/pause.h
+++ b/src/daemon/sleep.h
@@ -8,6 +8,6 @@
 namespace deckpitch::daemon {
 
 /// Suspends the calling coroutine for the given time on its own executor.
-boost::asio::awaitable<void> pauseFor(Duration Length);
+boost::asio::awaitable<void> sleepFor(Duration Length);
 
 } // namespace deckpitch::daemon
--- a/src/daemon/weights-agent.cc
+++ b/src/daemon/weights-agent.cc
@@ -287,7 +287,7 @@
     co_return *Fetched;
   net::log(Event::ManifestUnavailable,
            {{"weights", Weights.m_Text}, {"error", Fetched.error().m_Message}});
-  co_await pauseFor(RetryDelay);
+  co_await sleepFor(RetryDelay);
   co_return std::nullopt;
 }
 
@@ -308,7 +308,7 @@
     Copy->stop();
     m_Copies.erase(Weights);
   }
-  co_await pauseFor(RetryDelay);
+  co_await sleepFor(RetryDelay);
 }
 
 asio::awaitable<void> WeightsAgent::activateOrUnload(RolloutStep Step) {
@@ -320,7 +320,7 @@
     Done = co_await m_Context.m_Engine->unload(Step.m_Weights, m_Goal.m_Fence);
   if (!Done) {
     recordRefusal(Done.error(), Step.m_Weights);
-    co_await pauseFor(RetryDelay);
+    co_await sleepFor(RetryDelay);
     co_return;
   }
   if (Step.m_Kind == StepKind::Activate)
@@ -406,7 +406,7 @@
   while (!m_Stopped) {
     auto [Ec, Socket] = co_await m_Acceptor.async_accept(UseAwaitable);
     if (Ec) {
-      co_await pauseFor(BusyInterval);
+      co_await sleepFor(BusyInterval);
       continue;
     }
     net::tuneBulkSocket(Socket);
--- a/src/daemon/weights-copy.cc
+++ b/src/daemon/weights-copy.cc
@@ -166,7 +166,7 @@
       connectMore();
     const Duration Interval =
         m_Swarm.complete() ? TickWhenComplete : TickWhileCopying;
-    co_await pauseFor(Interval);
+    co_await sleepFor(Interval);
   }
 }
 
@@ -350,7 +350,7 @@
   const Duration Wait =
       m_Context.m_Link.m_Down->take(Message.m_Bytes.size(), now());
   if (Wait > Duration::zero())
-    co_await pauseFor(Wait);
+    co_await sleepFor(Wait);
   const auto From = m_Peers.find(Number);
   if (From == m_Peers.end())
     co_return false;
@@ -393,7 +393,7 @@
   const auto Stored = co_await m_Context.m_Engine->stage(
       m_Manifest.m_Weights, Chunk, std::move(Bytes));
   if (!Stored)
-    co_await pauseFor(StagingRetryDelay);
+    co_await sleepFor(StagingRetryDelay);
   if (m_Stopped)
     co_return;
   perform(m_Swarm.onStaged(Chunk, Stored.has_value(), now()));
@@ -424,7 +424,7 @@
   auto Pace = [this](std::size_t Bytes) -> asio::awaitable<void> {
     const Duration Wait = m_Context.m_Link.m_Down->take(Bytes, now());
     if (Wait > Duration::zero())
-      co_await pauseFor(Wait);
+      co_await sleepFor(Wait);
   };
   co_return co_await From.chunk(m_Manifest, Chunk, Pace);
 }
--- a/src/daemon/weights-link.cc
+++ b/src/daemon/weights-link.cc
@@ -153,7 +153,7 @@
     const std::size_t Length = std::min(PieceBytes, Left);
     const Duration Wait = m_Shaper->take(Length, now());
     if (Wait > Duration::zero())
-      co_await pauseFor(Wait);
+      co_await sleepFor(Wait);
     if (Next->m_To->closed())
       continue;
     sendPiece(*Next, Length);
--- a/src/daemon/weights-link.h
+++ b/src/daemon/weights-link.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "daemon/clock.h"
-#include "daemon/pause.h"
+#include "daemon/sleep.h"
 #include "deckpitch/settings.h"
 #include "deckpitch/token-bucket.h"
 #include "net/bulk.h"
--- a/src/direct/agent.cc
+++ b/src/direct/agent.cc
@@ -23,7 +23,7 @@
 namespace deckpitch::direct {
 
 using daemon::now;
-using daemon::pauseFor;
+using daemon::sleepFor;
 using std::chrono::milliseconds;
 
 namespace {
@@ -223,7 +223,7 @@
       if (!Succeeded)
         co_await m_Follower.listOldInstances();
     }
-    co_await pauseFor(StepInterval);
+    co_await sleepFor(StepInterval);
   }
 }
 
@@ -319,7 +319,7 @@
     if (m_HasReport)
       sendState(Now);
     const bool IsUseful = m_HasReport && !m_Entries.empty();
-    co_await pauseFor(IsUseful ? ReportInterval : IdleReportInterval);
+    co_await sleepFor(IsUseful ? ReportInterval : IdleReportInterval);
   }
 }
 
@@ -382,7 +382,7 @@
     // fetched.
     if (m_HasReport)
       co_await m_Weights.step(m_Report);
-    co_await pauseFor(StepInterval);
+    co_await sleepFor(StepInterval);
   }
 }
 
--- a/src/direct/entry-requests.cc
+++ b/src/direct/entry-requests.cc
@@ -1,7 +1,7 @@
 #include "direct/entry-call.h"
 
 #include "daemon/clock.h"
-#include "daemon/pause.h"
+#include "daemon/sleep.h"
 #include "net/log.h"
 #include "net/metrics.h"
 
@@ -13,7 +13,7 @@
 namespace deckpitch::direct {
 
 using daemon::now;
-using daemon::pauseFor;
+using daemon::sleepFor;
 using std::chrono::milliseconds;
 
 namespace {
@@ -235,7 +235,7 @@
       Of.m_RetryAfter = Chosen.m_RetryAfter;
       Of.m_LastOutcome = reasonOf(Chosen.m_Outcome);
       if (mayRepeatSearch(Of)) {
-        co_await pauseFor(SearchInterval);
+        co_await sleepFor(SearchInterval);
         continue;
       }
       if (Of.m_Sends == 0 && Of.m_Unreachable == 0) {
--- a/src/direct/staging-cache.cc
+++ b/src/direct/staging-cache.cc
@@ -149,7 +149,7 @@
 asio::awaitable<StagedState>
 StagingCache::verifyAndRepair(const Manifest &Wanted) {
   while (m_Writers > 0)
-    co_await daemon::pauseFor(WriteWait);
+    co_await daemon::sleepFor(WriteWait);
   Duration Took{};
   std::uint32_t Rewritten = 0;
   for (int Pass = 0; Pass < MaxPasses && !mayStagingChange(Wanted); ++Pass) {
--- a/src/direct/weights-supply.cc
+++ b/src/direct/weights-supply.cc
@@ -15,8 +15,8 @@
 using asio::ip::tcp;
 using daemon::BulkConnection;
 using daemon::now;
-using daemon::pauseFor;
 using daemon::PeerAddress;
+using daemon::sleepFor;
 using daemon::WeightsCopy;
 using std::chrono::milliseconds;
 
@@ -379,12 +379,12 @@
   if (!Read) {
     net::log(Event::ManifestUnavailable,
              {{"weights", Weights.m_Text}, {"error", Read.error().m_Message}});
-    co_return co_await pauseFor(ManifestRetry);
+    co_return co_await sleepFor(ManifestRetry);
   }
   // The list of peers decides who reads which chunk from the origin; an
   // instance that knows of no peers would read a whole copy itself.
   if (!co_await m_Calls.m_ListInstances())
-    co_return co_await pauseFor(ManifestRetry);
+    co_return co_await sleepFor(ManifestRetry);
   if (m_Current.m_CompleteAt && m_Current.m_Weights != Wanted) {
     if (m_Previous.m_Copy)
       m_Previous.m_Copy->stop();
@@ -450,7 +450,7 @@
   while (!m_Stopped) {
     auto [Ec, Socket] = co_await m_Acceptor.async_accept(UseAwaitable);
     if (Ec) {
-      co_await pauseFor(AcceptRetry);
+      co_await sleepFor(AcceptRetry);
       continue;
     }
     net::tuneBulkSocket(Socket);
