--- a/src/adapters/origin-http.cc
+++ b/src/adapters/origin-http.cc
@@ -25,7 +25,7 @@
 CallLimits limitsFor(std::size_t Bytes) {
   CallLimits Limits;
   Limits.m_BodyBytes = Bytes;
-  Limits.m_BetweenBytes = StallLimit;
+  Limits.m_ReadTimeout = StallLimit;
   return Limits;
 }
 
--- a/src/adapters/platform-http.cc
+++ b/src/adapters/platform-http.cc
@@ -270,7 +270,7 @@
                       {}};
   CallLimits Limits;
   Limits.m_FirstByte = WatchSilence;
-  Limits.m_BetweenBytes = WatchSilence;
+  Limits.m_ReadTimeout = WatchSilence;
   ++m_Calls;
   auto Opened = co_await m_Http.open(m_Address, Request, Limits);
   if (!Opened)
--- a/src/ctl/commands.cc
+++ b/src/ctl/commands.cc
@@ -197,7 +197,7 @@
   Request.m_Target =
       "/v1/watch?since=" + std::to_string(Ctx.m_Options.m_Revision.value_or(0));
   net::CallLimits Limits;
-  Limits.m_BetweenBytes = WatchIdleTimeout;
+  Limits.m_ReadTimeout = WatchIdleTimeout;
   auto Opened = co_await Client.open(Entry, std::move(Request), Limits);
   if (!Opened)
     co_return Opened.error();
--- a/src/daemon/agent-forward.cc
+++ b/src/daemon/agent-forward.cc
@@ -64,10 +64,10 @@
 EngineForward::EngineForward(Process &In, BoundRequest Request,
                              net::HttpResponder &Answer)
     : m_Process(In), m_Request(std::move(Request)), m_Answer(Answer) {
-  m_Answer.onGone([this] { callerGone(); });
+  m_Answer.onDisconnect([this] { callerGone(); });
 }
 
-EngineForward::~EngineForward() { m_Answer.onGone(nullptr); }
+EngineForward::~EngineForward() { m_Answer.onDisconnect(nullptr); }
 
 net::HttpRequest EngineForward::engineRequest() const {
   net::HttpRequest Out;
@@ -84,9 +84,9 @@
 
 asio::awaitable<ForwardEnd> EngineForward::run() {
   const auto Left = milliseconds(m_Request.m_TimeLeft);
-  const net::CallLimits Limits{.m_Connect = EngineConnectTimeout,
+  const net::CallLimits Limits{.m_ConnectTimeout = EngineConnectTimeout,
                                .m_FirstByte = Left,
-                               .m_BetweenBytes = Left};
+                               .m_ReadTimeout = Left};
   auto Opened = co_await m_Process.m_Http.open(
       m_Process.requestAddress(), engineRequest(), Limits, &m_OpenCancel);
   if (m_CallerGone)
@@ -194,9 +194,9 @@
   copyHeader(Source, Out.m_Headers, header::RequestId);
   copyHeader(Source, Out.m_Headers, header::IdempotencyKey);
   const auto Left = milliseconds(Request.m_TimeLeft);
-  const net::CallLimits Limits{.m_Connect = EngineConnectTimeout,
+  const net::CallLimits Limits{.m_ConnectTimeout = EngineConnectTimeout,
                                .m_FirstByte = Left,
-                               .m_BetweenBytes = Left,
+                               .m_ReadTimeout = Left,
                                .m_BodyBytes = MaxServiceAnswerBytes};
   co_return co_await In.m_Http.call(In.requestAddress(), std::move(Out),
                                     Limits);
--- a/src/daemon/cancel-request.cc
+++ b/src/daemon/cancel-request.cc
@@ -13,9 +13,9 @@
   net::HttpRequest Cancel;
   Cancel.m_Method = "DELETE";
   Cancel.m_Target = "/v1/requests/" + RequestId;
-  const net::CallLimits Limits{.m_Connect = CancelTimeout,
+  const net::CallLimits Limits{.m_ConnectTimeout = CancelTimeout,
                                .m_FirstByte = CancelTimeout,
-                               .m_BetweenBytes = CancelTimeout};
+                               .m_ReadTimeout = CancelTimeout};
   co_await In.m_Http.call(std::move(Address), std::move(Cancel), Limits);
 }
 
--- a/src/daemon/entry-chat.cc
+++ b/src/daemon/entry-chat.cc
@@ -39,7 +39,7 @@
     : m_Context(In), m_Call(std::move(Call)), m_Answer(Answer),
       m_Routes(In.m_Routes.routes()) {}
 
-ChatCall::~ChatCall() { m_Answer.onGone(nullptr); }
+ChatCall::~ChatCall() { m_Answer.onDisconnect(nullptr); }
 
 std::optional<NotRun> ChatCall::prepare() {
   boost::json::error_code Ec;
@@ -69,7 +69,7 @@
     co_await m_Answer.send(notRunResponse(*Refusal));
     co_return RequestOutcome::NotRun;
   }
-  m_Answer.onGone([this] { callerGone(); });
+  m_Answer.onDisconnect([this] { callerGone(); });
   PoolAdmission Admitted =
       co_await awaitAdmission(m_Context, m_Routes, *m_Pool, m_Call);
   if (Admitted.m_Refusal) {
@@ -202,7 +202,7 @@
   const Duration Left = m_Call.m_Deadline - now();
   const auto Limit = attemptTimeout(Left, m_Call.m_Terms.m_Idempotent);
   const net::CallLimits Limits{.m_FirstByte = Limit,
-                               .m_BetweenBytes = stallTimeoutAt(To)};
+                               .m_ReadTimeout = stallTimeoutAt(To)};
   auto Opened = co_await m_Context.m_Process.m_Http.open(
       To.m_Address, std::move(Request), Limits, &m_OpenCancel);
   if (!Opened) {
--- a/src/daemon/entry-keyed.cc
+++ b/src/daemon/entry-keyed.cc
@@ -13,9 +13,9 @@
 constexpr std::chrono::milliseconds QueryTimeout{500};
 constexpr std::chrono::milliseconds KeyedRetryAfter{500};
 constexpr std::chrono::seconds MaxTicketAge{5};
-constexpr net::CallLimits QueryLimits{.m_Connect = QueryTimeout,
+constexpr net::CallLimits QueryLimits{.m_ConnectTimeout = QueryTimeout,
                                       .m_FirstByte = QueryTimeout,
-                                      .m_BetweenBytes = QueryTimeout};
+                                      .m_ReadTimeout = QueryTimeout};
 
 KeyedResult resultOf(RequestOutcome Outcome, std::string Reason) {
   return {.m_Outcome = Outcome,
--- a/src/daemon/weights-copy.cc
+++ b/src/daemon/weights-copy.cc
@@ -2,7 +2,7 @@
 
 #include "net/address.h"
 #include "net/log.h"
-#include "net/progress-limit.h"
+#include "net/socket-deadline.h"
 
 #include <boost/asio.hpp>
 
@@ -43,7 +43,7 @@
 }
 
 asio::awaitable<bool> connectSocket(tcp::socket &Socket, tcp::endpoint To) {
-  net::ProgressLimit Limit(Socket);
+  net::SocketDeadline Limit(Socket);
   Limit.expiresAfter(HandshakeTimeout);
   auto [Ec] = co_await Socket.async_connect(To, UseAwaitable);
   co_return !Ec;
@@ -215,7 +215,7 @@
   wire::BulkFrame Message;
   *Message.mutable_hello() = SentHello;
   Connection->send(std::move(Message));
-  net::ProgressLimit Limit(Connection->socket());
+  net::SocketDeadline Limit(Connection->socket());
   Limit.expiresAfter(HandshakeTimeout);
   auto Answer = co_await net::readBulk(Connection->socket());
   Limit.stop();
--- a/src/direct/entry-attempts.cc
+++ b/src/direct/entry-attempts.cc
@@ -134,7 +134,7 @@
   const milliseconds Left = Of.timeLeft();
   const bool IsOnce = Of.m_Route->m_Kind == RouteKind::NonIdempotent;
   net::CallLimits Limits;
-  Limits.m_Connect = std::min(ConnectTimeout, Left);
+  Limits.m_ConnectTimeout = std::min(ConnectTimeout, Left);
   Limits.m_FirstByte = Left;
   // Streams have no such limit: a silent one is moved if another instance can
   // take it, and may still be answered otherwise.
@@ -143,9 +143,9 @@
   if (MayRepeat && hasAlternative(Of, Chosen))
     Limits.m_FirstByte =
         std::min(Left, RepeatAfterObjectives * Of.m_Route->m_Objective);
-  Limits.m_BetweenBytes = Limits.m_FirstByte;
-  Limits.m_MostIdle = IsOnce ? MaxIdleOnce : MaxIdle;
-  Limits.m_RepeatsGet = false;
+  Limits.m_ReadTimeout = Limits.m_FirstByte;
+  Limits.m_MaxIdle = IsOnce ? MaxIdleOnce : MaxIdle;
+  Limits.m_RetriesGet = false;
 
   UpstreamTerms Terms;
   Terms.m_TimeLeft = Left;
@@ -246,7 +246,7 @@
 EntryRequests::readWhole(Call &Of, net::HttpStream &Body) {
   Of.m_Body.clear();
   while (true) {
-    Body.setBetweenBytes(std::max(Of.timeLeft(), milliseconds(1)));
+    Body.setReadTimeout(std::max(Of.timeLeft(), milliseconds(1)));
     auto Piece = co_await Body.read();
     if (!Piece) {
       Of.m_IsPeerEnd = Piece.error().m_IsPeerEnd;
@@ -316,7 +316,7 @@
     const milliseconds Left = Of.timeLeft();
     if (Left <= milliseconds::zero())
       co_return AttemptOutcome::Broken;
-    Body.setBetweenBytes(Left);
+    Body.setReadTimeout(Left);
     auto Piece = co_await Body.read();
     const bool IsEnd = Piece && Piece->empty();
     if (Piece && Of.m_Handover)
--- a/src/direct/entry-requests.cc
+++ b/src/direct/entry-requests.cc
@@ -148,7 +148,7 @@
   Call Of{std::move(Request), Answer, m_Routes};
   Of.m_Start = now();
   Of.m_Terms = m_Adapter.readTerms(Of.m_Request);
-  Answer.onGone([&Of] {
+  Answer.onDisconnect([&Of] {
     Of.m_IsGone = true;
     if (Of.m_Handover)
       Of.m_Handover->m_Cancel.cancel();
--- a/src/direct/entry.cc
+++ b/src/direct/entry.cc
@@ -200,7 +200,7 @@
   Limits.m_BodyBytes = Declared.m_BodyBytes;
   Limits.m_HeaderTimeout = Declared.m_HeaderTimeout;
   Limits.m_IdleTimeout = Declared.m_IdleTimeout;
-  Limits.m_HalfClosedIsGone = true;
+  Limits.m_HalfCloseIsDisconnect = true;
   return Limits;
 }
 
--- a/src/net/http-client.cc
+++ b/src/net/http-client.cc
@@ -2,7 +2,7 @@
 #include "net/boot-clock.h"
 #include "net/dead-peer.h"
 #include "net/http.h"
-#include "net/progress-limit.h"
+#include "net/socket-deadline.h"
 
 #include <boost/asio.hpp>
 #include <boost/beast/core.hpp>
@@ -30,7 +30,7 @@
   explicit Connection(const asio::any_io_executor &Executor)
       : m_Socket(Executor) {}
   tcp::socket m_Socket;
-  ProgressLimit m_Deadline{m_Socket};
+  SocketDeadline m_Deadline{m_Socket};
   beast::flat_buffer m_Buffer;
   std::size_t m_ReadBytes = MinReadBytes; ///< grows while reads fill the buffer
   BootClock::time_point m_IdleSince;
@@ -163,7 +163,7 @@
         co_return std::string();
       }
       Connection &From = *m_Connection;
-      From.m_Deadline.expiresAfter(m_Limits.m_BetweenBytes);
+      From.m_Deadline.expiresAfter(m_Limits.m_ReadTimeout);
       auto [Ec, Bytes] = co_await From.m_Socket.async_read_some(
           From.m_Buffer.prepare(From.m_ReadBytes), UseAwaitable);
       if (m_Cancelled)
@@ -181,8 +181,8 @@
     co_return std::string();
   }
 
-  void setBetweenBytes(std::chrono::milliseconds Limit) override {
-    m_Limits.m_BetweenBytes = Limit;
+  void setReadTimeout(std::chrono::milliseconds Limit) override {
+    m_Limits.m_ReadTimeout = Limit;
   }
 
   void cancel() override {
@@ -298,16 +298,16 @@
     Message.set(http::field::connection, "close");
   Message.body() = std::move(Request.m_Body);
   Message.prepare_payload();
-  const bool MayRetry = Request.m_Method == "GET" && Limits.m_RepeatsGet;
+  const bool MayRetry = Request.m_Method == "GET" && Limits.m_RetriesGet;
   bool Sent = false;
   while (!Cancel || !Cancel->cancelled()) {
     std::unique_ptr<Connection> Conn;
     if (const auto LivePool = Pool.lock())
-      Conn = LivePool->acquireIdle(Key, Limits.m_MostIdle);
+      Conn = LivePool->acquireIdle(Key, Limits.m_MaxIdle);
     const bool IsReused = Conn != nullptr;
     if (!IsReused) {
       auto NewConn =
-          co_await connect(Executor, Address, Limits.m_Connect, Cancel);
+          co_await connect(Executor, Address, Limits.m_ConnectTimeout, Cancel);
       if (!NewConn)
         co_return NewConn.error();
       Conn = std::move(*NewConn);
--- a/src/net/http-server.cc
+++ b/src/net/http-server.cc
@@ -1,7 +1,7 @@
 #include "net/address.h"
 #include "net/dead-peer.h"
 #include "net/http.h"
-#include "net/progress-limit.h"
+#include "net/socket-deadline.h"
 
 #include <boost/asio.hpp>
 #include <boost/beast/core.hpp>
@@ -34,7 +34,7 @@
 struct Connection {
   explicit Connection(tcp::socket Socket) : m_Socket(std::move(Socket)) {}
   tcp::socket m_Socket;
-  ProgressLimit m_Deadline{m_Socket};
+  SocketDeadline m_Deadline{m_Socket};
   std::atomic<bool> m_Busy{false};
 };
 
@@ -112,7 +112,7 @@
   }
 
   bool started() const override { return m_Started; }
-  void onGone(std::function<void()> Callback) override {
+  void onDisconnect(std::function<void()> Callback) override {
     m_OnDisconnect = std::move(Callback);
   }
 
@@ -250,7 +250,7 @@
   asio::awaitable<void> serve(std::shared_ptr<Connection> Conn) {
     auto Self = shared_from_this();
     tcp::socket &Socket = Conn->m_Socket;
-    ProgressLimit &Deadline = Conn->m_Deadline;
+    SocketDeadline &Deadline = Conn->m_Deadline;
     beast::flat_buffer Buffer;
     while (true) {
       http::request_parser<http::string_body> Parser;
@@ -340,7 +340,7 @@
           if (Peek == asio::error::would_block || Got > 0)
             return;
           const bool IsDisconnected = Peek && Peek != asio::error::eof;
-          if (IsDisconnected || Self->m_Limits.m_HalfClosedIsGone)
+          if (IsDisconnected || Self->m_Limits.m_HalfCloseIsDisconnect)
             return Watched->handleDisconnect();
           asio::co_spawn(Conn->m_Socket.get_executor(),
                          probeHalfClosed(Conn, Weak), asio::detached);
--- a/src/net/http.h
+++ b/src/net/http.h
@@ -75,7 +75,7 @@
   virtual bool started() const = 0;
   /// Sets the callback that is invoked, at most once, if the client disconnects
   /// before the end of the response.
-  virtual void onGone(std::function<void()> Callback) = 0;
+  virtual void onDisconnect(std::function<void()> Callback) = 0;
 };
 
 using HttpHandler =
@@ -92,7 +92,7 @@
   /// Treats a client that closes its sending side as disconnected. Otherwise
   /// the response is still sent, and interim responses (100 Continue) probe
   /// whether the client is still there.
-  bool m_HalfClosedIsGone = false;
+  bool m_HalfCloseIsDisconnect = false;
 };
 
 /// An HTTP/1.1 server. Each connection is served on one worker and processes
@@ -125,21 +125,21 @@
 };
 
 struct CallLimits {
-  std::chrono::milliseconds m_Connect{1'000};
+  std::chrono::milliseconds m_ConnectTimeout{1'000};
   std::chrono::milliseconds m_FirstByte{
       30'000}; ///< to send the request, and again to read the headers
-  std::chrono::milliseconds m_BetweenBytes{30'000};
+  std::chrono::milliseconds m_ReadTimeout{30'000};
   std::size_t m_BodyBytes = std::size_t{64} * 1024 * 1024;
   /// A pooled connection that was idle for longer is not reused: servers close
   /// idle connections, and a request sent on one that was just closed may or
   /// may not have been processed.
-  std::chrono::milliseconds m_MostIdle{30'000};
+  std::chrono::milliseconds m_MaxIdle{30'000};
   /// Whether the connection is pooled for later calls. Disable it for servers
   /// that accept few connections and have many callers.
   bool m_KeepsConnection = true;
   /// Whether a GET is retried if the server had already closed the pooled
   /// connection it was sent on.
-  bool m_RepeatsGet = true;
+  bool m_RetriesGet = true;
 };
 
 /// A response whose body is read in pieces. Destroying it before the end of
@@ -153,7 +153,7 @@
   /// Reads the next piece, which is empty at the end of a complete response.
   virtual asio::awaitable<Outcome<std::string>> read() = 0;
   /// Sets how long each later read waits for data.
-  virtual void setBetweenBytes(std::chrono::milliseconds Limit) = 0;
+  virtual void setReadTimeout(std::chrono::milliseconds Limit) = 0;
   /// Cancels a pending read. Must be called on the thread that reads.
   virtual void cancel() = 0;
 };
--- a/src/net/progress-limit.cc
+++ b/src/net/socket-deadline.cc
@@ -1,4 +1,4 @@
-#include "net/progress-limit.h"
+#include "net/socket-deadline.h"
 
 #include <boost/asio/steady_timer.hpp>
 
@@ -17,7 +17,7 @@
 
 } // namespace
 
-struct ProgressLimit::State : std::enable_shared_from_this<State> {
+struct SocketDeadline::State : std::enable_shared_from_this<State> {
   explicit State(asio::ip::tcp::socket &Socket)
       : m_Socket(&Socket), m_Timer(Socket.get_executor()) {}
 
@@ -51,15 +51,15 @@
   bool m_Expired = false;
 };
 
-ProgressLimit::ProgressLimit(asio::ip::tcp::socket &Socket)
+SocketDeadline::SocketDeadline(asio::ip::tcp::socket &Socket)
     : m_State(std::make_shared<State>(Socket)) {}
 
-ProgressLimit::~ProgressLimit() {
+SocketDeadline::~SocketDeadline() {
   stop();
   m_State->m_Socket = nullptr;
 }
 
-void ProgressLimit::expiresAfter(SteadyClock::duration Time) {
+void SocketDeadline::expiresAfter(SteadyClock::duration Time) {
   State &Own = *m_State;
   Own.m_Expired = false;
   Own.m_Deadline = SteadyClock::now() + Time;
@@ -67,9 +67,9 @@
     Own.arm(Own.m_Deadline);
 }
 
-void ProgressLimit::pause() { m_State->m_Deadline = NoDeadline; }
+void SocketDeadline::pause() { m_State->m_Deadline = NoDeadline; }
 
-void ProgressLimit::stop() {
+void SocketDeadline::stop() {
   pause();
   if (m_State->m_ArmedAt == NoDeadline)
     return;
@@ -77,6 +77,6 @@
   m_State->m_Timer.cancel();
 }
 
-bool ProgressLimit::expired() const { return m_State->m_Expired; }
+bool SocketDeadline::expired() const { return m_State->m_Expired; }
 
 } // namespace deckpitch::net
--- a/src/net/progress-limit.h
+++ b/src/net/socket-deadline.h
@@ -13,12 +13,12 @@
 /// fires, since setting and cancelling a timer for each read and write costs
 /// more than the operation itself. Must be used on the event loop of the
 /// socket, which must outlive it.
-class ProgressLimit {
+class SocketDeadline {
 public:
-  explicit ProgressLimit(boost::asio::ip::tcp::socket &Socket);
-  ~ProgressLimit();
-  ProgressLimit(const ProgressLimit &) = delete;
-  ProgressLimit &operator=(const ProgressLimit &) = delete;
+  explicit SocketDeadline(boost::asio::ip::tcp::socket &Socket);
+  ~SocketDeadline();
+  SocketDeadline(const SocketDeadline &) = delete;
+  SocketDeadline &operator=(const SocketDeadline &) = delete;
 
   /// Sets the deadline, relative to now.
   void expiresAfter(std::chrono::steady_clock::duration Time);
--- a/support/load/chat-client.cc
+++ b/support/load/chat-client.cc
@@ -179,9 +179,9 @@
                                 ChatRequest Request) {
   const auto Begin = SteadyClock::now();
   net::CallLimits Limits;
-  Limits.m_Connect = ConnectLimit;
+  Limits.m_ConnectTimeout = ConnectLimit;
   Limits.m_FirstByte = Request.m_Deadline;
-  Limits.m_BetweenBytes = Request.m_Deadline;
+  Limits.m_ReadTimeout = Request.m_Deadline;
   auto Opened = co_await Http.open(Entry, httpRequest(Request), Limits);
   ChatAnswer Failed;
   if (!Opened) {
--- a/support/standins/engine.cc
+++ b/support/standins/engine.cc
@@ -276,7 +276,7 @@
     Self->m_Priority = static_cast<std::uint32_t>(
         parseNumber(Request.m_Headers.find("X-Priority")));
     std::weak_ptr<EngineRequest> Weak = Self;
-    Answer.onGone([Weak] {
+    Answer.onDisconnect([Weak] {
       if (const auto Left = Weak.lock())
         Left->stop();
     });
--- a/support/standins/standin.h
+++ b/support/standins/standin.h
@@ -49,7 +49,7 @@
 public:
   explicit GoneFlag(net::HttpResponder &Answer)
       : m_Gone(std::make_shared<bool>(false)) {
-    Answer.onGone([Gone = m_Gone] { *Gone = true; });
+    Answer.onDisconnect([Gone = m_Gone] { *Gone = true; });
   }
   bool gone() const { return *m_Gone; }
 
--- a/test/http-client-test.cc
+++ b/test/http-client-test.cc
@@ -280,7 +280,7 @@
     waitUntilClosed(Socket);
   }});
   CallLimits Limits;
-  Limits.m_BetweenBytes = 20ms;
+  Limits.m_ReadTimeout = 20ms;
   const auto Answer = callAndWait(Server.address(), {}, Limits);
   ASSERT_FALSE(Answer);
   EXPECT_EQ(Answer.error().m_Code, ErrorCode::Timeout);
--- a/test/http-server-test.cc
+++ b/test/http-server-test.cc
@@ -65,7 +65,7 @@
   }
 
   asio::awaitable<void> waitForRelease(HttpResponder &Answer) {
-    Answer.onGone([this] { ++m_Disconnects; });
+    Answer.onDisconnect([this] { ++m_Disconnects; });
     ++m_Waiting;
     asio::steady_timer Pause(co_await asio::this_coro::executor);
     while (!m_Released) {
--- a/test/standin-contract-test.cc
+++ b/test/standin-contract-test.cc
@@ -229,7 +229,7 @@
     net::HttpRequest Request;
     Request.m_Target = "/v1/weights/m@1/content";
     net::CallLimits Limits;
-    Limits.m_BetweenBytes = Patience;
+    Limits.m_ReadTimeout = Patience;
     return net::callAndWait(m_Address, std::move(Request), Limits);
   }
 
