--- a/src/adapters/engine-http.cc
+++ b/src/adapters/engine-http.cc
@@ -1,4 +1,4 @@
-// An engine's weights over HTTP; docs/INTERFACES.md.
+// Engine adapter over HTTP; docs/INTERFACES.md.
 #include "net/adapters.h"
 #include "net/engine.h"
 
@@ -9,12 +9,13 @@
 namespace {
 
 constexpr const char *StagingRoot = "/v1/engine/staging/";
-/// An engine that does not tell its status for so long cannot serve either.
+/// An engine that does not return its status within this time cannot serve
+/// requests either.
 constexpr CallLimits StatusLimits{std::chrono::milliseconds(1'000),
                                   std::chrono::milliseconds(2'000),
                                   std::chrono::milliseconds(2'000)};
 
-Error refused(const std::string &Call, const HttpResponse &Answer) {
+Error errorOf(const std::string &Call, const HttpResponse &Answer) {
   const std::string Text =
       Call + ": " + std::to_string(Answer.m_Status) + " " + Answer.m_Body;
   switch (Answer.m_Status) {
@@ -77,7 +78,7 @@
   if (!Answer)
     co_return Answer.error();
   if (!isSuccess(*Answer))
-    co_return refused("status", *Answer);
+    co_return errorOf("status", *Answer);
   co_return outcomeOf([&] { return parseEngineStatus(Answer->m_Body); });
 }
 
@@ -88,7 +89,7 @@
   if (!Answer)
     co_return Answer.error();
   if (!isSuccess(*Answer))
-    co_return refused("stage", *Answer);
+    co_return errorOf("stage", *Answer);
   co_return true;
 }
 
@@ -101,7 +102,7 @@
   if (!Answer)
     co_return Answer.error();
   if (!isSuccess(*Answer))
-    co_return refused("staged", *Answer);
+    co_return errorOf("staged", *Answer);
   co_return std::move(Answer->m_Body);
 }
 
@@ -111,7 +112,7 @@
   if (!Answer)
     co_return Answer.error();
   if (!isSuccess(*Answer))
-    co_return refused("drop", *Answer);
+    co_return errorOf("drop", *Answer);
   co_return true;
 }
 
@@ -122,7 +123,7 @@
   if (!Answer)
     co_return Answer.error();
   if (!isSuccess(*Answer))
-    co_return refused("order", *Answer);
+    co_return errorOf("order", *Answer);
   co_return true;
 }
 
--- a/src/adapters/origin-http.cc
+++ b/src/adapters/origin-http.cc
@@ -1,4 +1,4 @@
-// Weights over HTTP with ranges; docs/INTERFACES.md.
+// Origin adapter over HTTP range requests; docs/INTERFACES.md.
 #include "net/adapters.h"
 #include "net/origin.h"
 
@@ -8,14 +8,14 @@
 
 constexpr unsigned PartialContent = 206;
 constexpr unsigned NotFound = 404;
-constexpr std::size_t ManifestBytes = std::size_t{64} * 1024 * 1024;
-constexpr std::chrono::milliseconds StallLimit{5'000};
+constexpr std::size_t MaxManifestBytes = std::size_t{64} * 1024 * 1024;
+constexpr std::chrono::milliseconds StallTimeout{5'000};
 
 std::string pathOf(const WeightsId &Weights, const char *Part) {
   return "/v1/weights/" + Weights.m_Text + "/" + Part;
 }
 
-Error refused(unsigned Status) {
+Error errorOf(unsigned Status) {
   const std::string Text = "origin: " + std::to_string(Status);
   if (Status == NotFound)
     return {ErrorCode::NotFound, Text};
@@ -25,7 +25,7 @@
 CallLimits limitsFor(std::size_t Bytes) {
   CallLimits Limits;
   Limits.m_BodyBytes = Bytes;
-  Limits.m_BetweenBytes = StallLimit;
+  Limits.m_BetweenBytes = StallTimeout;
   return Limits;
 }
 
@@ -46,14 +46,15 @@
 asio::awaitable<Outcome<Manifest>> HttpOrigin::manifest(WeightsId Weights) {
   HttpRequest Request{"GET", pathOf(Weights, "manifest")};
   auto Answer = co_await m_Http.call(m_Address, std::move(Request),
-                                     limitsFor(ManifestBytes));
+                                     limitsFor(MaxManifestBytes));
   if (!Answer)
     co_return Answer.error();
   if (Answer->m_Status != 200)
-    co_return refused(Answer->m_Status);
+    co_return errorOf(Answer->m_Status);
   auto Parsed = outcomeOf([&] { return parseManifest(Answer->m_Body); });
   if (Parsed && Parsed->m_Weights != Weights)
-    co_return Error{ErrorCode::CorruptData, "manifest of other weights"};
+    co_return Error{ErrorCode::CorruptData,
+                    "origin returned the manifest of different weights"};
   co_return Parsed;
 }
 
@@ -70,7 +71,7 @@
     co_return Opened.error();
   HttpStream &Body = **Opened;
   if (Body.status() != PartialContent)
-    co_return refused(Body.status());
+    co_return errorOf(Body.status());
   OriginChunk Out;
   Out.m_Tag = std::string(Body.headers().find("ETag"));
   while (true) {
@@ -81,7 +82,8 @@
       co_return Out;
     co_await Paced(Piece->size());
     if (Out.m_Bytes.size() + Piece->size() > Length)
-      co_return Error{ErrorCode::CorruptData, "more bytes than asked for"};
+      co_return Error{ErrorCode::CorruptData,
+                      "origin sent more bytes than requested"};
     Out.m_Bytes += *Piece;
   }
 }
--- a/src/adapters/platform-http.cc
+++ b/src/adapters/platform-http.cc
@@ -1,4 +1,4 @@
-// The platform over HTTP and JSON; docs/INTERFACES.md.
+// Platform adapter over HTTP and JSON; docs/INTERFACES.md.
 #include "net/adapters.h"
 #include "net/platform.h"
 
@@ -14,8 +14,9 @@
 namespace {
 
 constexpr std::size_t MaxLineBytes = std::size_t{4} * 1024 * 1024;
-/// Longer than the platform's bookmarks are apart: a silent watch is dead.
-constexpr std::chrono::milliseconds WatchSilence{30'000};
+/// Longer than the interval between the platform's bookmarks, so a watch that
+/// receives nothing for so long is dead.
+constexpr std::chrono::milliseconds WatchTimeout{30'000};
 constexpr CallLimits ExchangeLimits{std::chrono::milliseconds(1'000),
                                     std::chrono::milliseconds(3'000),
                                     std::chrono::milliseconds(3'000)};
@@ -36,7 +37,8 @@
 
 bool isWrite(const HttpRequest &Request) { return Request.m_Method != "GET"; }
 
-/// An answer of 5xx says nothing of whether a write took effect.
+/// Maps a status to an error. A 5xx response does not tell whether a write took
+/// effect, so a write that receives one counts as timed out.
 Error errorOf(const HttpRequest &Request, unsigned Status) {
   const std::string Text = Request.m_Method + " " + Request.m_Target +
                            " answered " + std::to_string(Status);
@@ -52,7 +54,7 @@
   return {ErrorCode::InvalidInput, Text};
 }
 
-Error unreadable(const std::string &What) {
+Error malformedResponse(const std::string &What) {
   return {ErrorCode::InvalidInput, "the platform's answer lacks " + What};
 }
 
@@ -107,7 +109,7 @@
   return std::nullopt;
 }
 
-/// The watch's lines may be cut anywhere by the transport.
+/// Assembles the lines of a watch, which the transport may split anywhere.
 class LineReader {
 public:
   void add(std::string_view Piece) { m_Text += Piece; }
@@ -126,7 +128,8 @@
   std::string m_Text;
 };
 
-/// Hands the whole lines on; the reason when the watch is to end.
+/// Passes the events of complete lines to OnEvent. Returns the reason if the
+/// watch must end.
 std::optional<Error>
 deliverLines(LineReader &Lines,
              const std::function<bool(PlatformEvent)> &OnEvent) {
@@ -135,12 +138,12 @@
       continue;
     std::optional<PlatformEvent> Read = readEvent(*Line);
     if (!Read)
-      return unreadable("a readable event");
+      return malformedResponse("a readable event");
     if (!OnEvent(std::move(*Read)))
       return Error{ErrorCode::Unavailable, "the watch was ended here"};
   }
   if (Lines.tooLong())
-    return unreadable("the end of a line");
+    return malformedResponse("the end of a line");
   return std::nullopt;
 }
 
@@ -156,7 +159,7 @@
   asio::awaitable<Outcome<Revision>> create(std::string Kind, std::string Name,
                                             std::string Json) override;
   asio::awaitable<Outcome<Revision>> remove(std::string Kind, std::string Name,
-                                            Revision Seen) override;
+                                            Revision Expected) override;
   asio::awaitable<Error>
   watch(std::vector<std::string> Kinds, Revision Since,
         std::function<bool(PlatformEvent)> OnEvent) override;
@@ -193,7 +196,7 @@
   std::optional<PlatformObject> Object =
       Read ? readObject(*Read) : std::nullopt;
   if (!Object)
-    co_return unreadable("an object");
+    co_return malformedResponse("an object");
   Object->m_Kind = std::move(Kind);
   Object->m_Name = std::move(Name);
   co_return std::move(*Object);
@@ -207,16 +210,16 @@
   const std::optional<json::object> Read = parseObject(Answer->m_Body);
   const std::optional<Revision> At = Read ? revisionOf(*Read) : std::nullopt;
   if (!At)
-    co_return unreadable("a revision");
+    co_return malformedResponse("a revision");
   const json::value *Items = Read->if_contains("items");
   if (!Items || !Items->is_array())
-    co_return unreadable("items");
+    co_return malformedResponse("items");
   PlatformList List{*At, {}};
   for (const json::value &Each : Items->get_array()) {
     std::optional<PlatformObject> Object =
         Each.is_object() ? readObject(Each.get_object()) : std::nullopt;
     if (!Object)
-      co_return unreadable("a readable item");
+      co_return malformedResponse("a readable item");
     Object->m_Kind = Kind;
     List.m_Items.push_back(std::move(*Object));
   }
@@ -251,9 +254,9 @@
 }
 
 asio::awaitable<Outcome<Revision>>
-HttpPlatform::remove(std::string Kind, std::string Name, Revision Seen) {
+HttpPlatform::remove(std::string Kind, std::string Name, Revision Expected) {
   HttpRequest Request{"DELETE", objectPath(Kind, Name), {}, {}};
-  Request.m_Headers.add("If-Match", quotedRevision(Seen));
+  Request.m_Headers.add("If-Match", quotedRevision(Expected));
   co_return co_await write(std::move(Request));
 }
 
@@ -269,8 +272,8 @@
                       {},
                       {}};
   CallLimits Limits;
-  Limits.m_FirstByte = WatchSilence;
-  Limits.m_BetweenBytes = WatchSilence;
+  Limits.m_FirstByte = WatchTimeout;
+  Limits.m_BetweenBytes = WatchTimeout;
   ++m_Calls;
   auto Opened = co_await m_Http.open(m_Address, Request, Limits);
   if (!Opened)
@@ -301,11 +304,11 @@
   const std::optional<json::object> Read = parseObject(Answer->m_Body);
   const json::value *Items = Read ? Read->if_contains("items") : nullptr;
   if (!Items || !Items->is_array())
-    co_return unreadable("items");
+    co_return malformedResponse("items");
   std::vector<PlatformInstance> List;
   for (const json::value &Each : Items->get_array()) {
     if (!Each.is_object())
-      co_return unreadable("a readable instance");
+      co_return malformedResponse("a readable instance");
     const json::object &One = Each.get_object();
     List.push_back({textOf(One, "name"), textOf(One, "address"),
                     textOf(One, "dataCentre"),
--- a/src/net/adapters.h
+++ b/src/net/adapters.h
@@ -1,4 +1,4 @@
-// Adapters of the ports towards the outside, found by the address's scheme.
+// Registry of adapters to external systems, selected by the address's scheme.
 #pragma once
 
 #include "deckpitch/error.h"
@@ -13,7 +13,8 @@
 
 namespace deckpitch::net {
 
-/// An address as settings give it: "scheme://rest", or "ip:port" for HTTP.
+/// An address as written in settings: "scheme://location", or "ip:port" for
+/// HTTP.
 struct PortAddress {
   std::string m_Scheme;
   std::string m_Rest;
@@ -23,25 +24,25 @@
 
 PortAddress parsePortAddress(const std::string &Text);
 
-/// What can stand behind a port of the daemon.
+/// A type that implements a port and can be created by the registry.
 template <typename T, typename Port>
 concept AdapterOf = std::derived_from<T, Port> &&
     std::constructible_from<T, HttpClient &, std::string>;
 
-/// The adapters of one port by scheme; filled before main() begins.
+/// The adapters of one port by scheme, registered before main() begins.
 template <typename Port> class Adapters {
 public:
-  using Make =
-      std::function<std::unique_ptr<Port>(HttpClient &, std::string Rest)>;
+  using Factory =
+      std::function<std::unique_ptr<Port>(HttpClient &, std::string Location)>;
 
-  static void add(std::string Scheme, Make Maker) {
-    list().insert_or_assign(std::move(Scheme), std::move(Maker));
+  static void add(std::string Scheme, Factory Create) {
+    list().insert_or_assign(std::move(Scheme), std::move(Create));
   }
 
-  /// Every scheme there is, as in "http, store".
+  /// Returns all registered schemes, for instance "http, store".
   static std::string schemes() {
     std::string Out;
-    for (const auto &[Scheme, Maker] : list())
+    for (const auto &[Scheme, Create] : list())
       Out += (Out.empty() ? "" : ", ") + Scheme;
     return Out;
   }
@@ -50,7 +51,7 @@
     return list().contains(parsePortAddress(Address).m_Scheme);
   }
 
-  /// Null when no adapter has the address's scheme.
+  /// Returns null if no adapter is registered for the address's scheme.
   static std::unique_ptr<Port> make(HttpClient &Http,
                                     const std::string &Address) {
     PortAddress Parsed = parsePortAddress(Address);
@@ -61,20 +62,21 @@
   }
 
 private:
-  static std::map<std::string, Make> &list() {
-    static std::map<std::string, Make> Known;
-    return Known;
+  static std::map<std::string, Factory> &list() {
+    static std::map<std::string, Factory> Registry;
+    return Registry;
   }
 };
 
-/// Registers an adapter by standing at namespace scope of its own .cc file:
+/// Registers an adapter when defined at namespace scope in the adapter's .cc
+/// file:
 ///
 ///   const AdapterRegistration<Platform, HttpPlatform> Registered("http");
 template <typename Port, AdapterOf<Port> T> struct AdapterRegistration {
   explicit AdapterRegistration(std::string Scheme) {
     Adapters<Port>::add(std::move(Scheme),
-                        [](HttpClient &Http, std::string Rest) {
-                          return std::make_unique<T>(Http, std::move(Rest));
+                        [](HttpClient &Http, std::string Location) {
+                          return std::make_unique<T>(Http, std::move(Location));
                         });
   }
 };
--- a/src/net/engine.h
+++ b/src/net/engine.h
@@ -1,4 +1,4 @@
-// The port to a model engine's weights, as coroutines.
+// The port to a model engine for staging and loading weights, as coroutines.
 #pragma once
 
 #include "deckpitch/engine-status.h"
@@ -11,7 +11,7 @@
 
 namespace deckpitch::net {
 
-/// What each adapter and each fake of an engine offers.
+/// Interface that every adapter and every fake of an engine satisfies.
 template <typename T>
 concept EnginePort = requires(T &At, WeightsId Weights, std::uint32_t Index,
                               std::string Bytes, Manifest Wanted,
@@ -31,8 +31,8 @@
   { At.unload(Weights, Fence) } -> std::same_as<asio::awaitable<Outcome<bool>>>;
 };
 
-/// An engine's staging and orders. Errors of all calls: Unavailable (not
-/// done), Timeout (may be done).
+/// An engine's staging area and the orders that it takes. Errors of all calls:
+/// Unavailable (not done), Timeout (may have taken effect).
 class Engine {
 public:
   Engine() = default;
@@ -41,16 +41,16 @@
   Engine &operator=(const Engine &) = delete;
 
   virtual asio::awaitable<Outcome<EngineStatus>> status() = 0;
-  /// Puts a verified chunk into staging.
+  /// Stores a verified chunk in staging.
   virtual asio::awaitable<Outcome<bool>>
   stage(WeightsId Weights, std::uint32_t Index, std::string Bytes) = 0;
-  /// A staged chunk's bytes. Errors: NotFound.
+  /// Returns the bytes of a staged chunk. Errors: NotFound.
   virtual asio::awaitable<Outcome<std::string>> staged(WeightsId Weights,
                                                        std::uint32_t Index) = 0;
   virtual asio::awaitable<Outcome<bool>> dropStaging(WeightsId Weights) = 0;
-  /// Orders. Errors: StaleFence; CorruptData when the engine finds staged
-  /// chunks that do not match; Unavailable when no slot is free; NotFound when
-  /// what is to be activated is not loaded.
+  /// Orders to load, activate and unload weights. Errors: StaleFence;
+  /// CorruptData if staged chunks do not match the manifest; Unavailable if no
+  /// slot is free; NotFound if the weights to activate are not loaded.
   virtual asio::awaitable<Outcome<bool>> load(Manifest Wanted,
                                               FencingNumber Fence) = 0;
   virtual asio::awaitable<Outcome<bool>> activate(WeightsId Weights,
--- a/src/net/origin.h
+++ b/src/net/origin.h
@@ -11,17 +11,17 @@
 
 namespace deckpitch::net {
 
-/// A chunk as the origin gave it; not yet verified.
+/// A chunk as received from the origin, not yet verified.
 struct OriginChunk {
   std::string m_Bytes;
-  std::string m_Tag; ///< names the whole content it was read from; may be empty
+  std::string m_Tag; ///< identifies the complete content; may be empty
 };
 
-/// Awaited for each piece of that many bytes, so that the reader's link is
-/// shaped.
+/// Awaited with the size of each piece received, to limit the rate at which the
+/// reader uses its link.
 using OriginPace = std::function<asio::awaitable<void>(std::size_t Bytes)>;
 
-/// What each adapter and each fake of an origin offers.
+/// Interface that every adapter and every fake of an origin satisfies.
 template <typename T>
 concept OriginPort = requires(T &At, WeightsId Weights, const Manifest &Of,
                               std::uint32_t Index, OriginPace Paced) {
@@ -32,7 +32,8 @@
 };
 
 /// The origin of weights, or the weight store. Errors: NotFound, Unavailable
-/// (refused for now), Timeout, CorruptData (other weights, too many bytes).
+/// (temporarily refused), Timeout, CorruptData (manifest of different weights,
+/// or too many bytes).
 class Origin {
 public:
   Origin() = default;
--- a/src/net/platform.h
+++ b/src/net/platform.h
@@ -25,20 +25,21 @@
 };
 
 struct PlatformList {
-  Revision m_Revision; ///< the list is the whole kind as of this revision
+  Revision m_Revision; ///< complete for its kind as of this revision
   std::vector<PlatformObject> m_Items;
 };
 
 struct PlatformEvent {
   enum class Type { Put, Delete, Bookmark };
   Type m_Type = Type::Put;
-  PlatformObject m_Object; ///< a bookmark has only the revision
-  /// Of a bookmark: how long ago, at most, the platform held nothing newer; 0
-  /// where an adapter cannot tell.
+  PlatformObject m_Object; ///< only the revision is set for a bookmark
+  /// Upper bound of a bookmark's age: at most this long ago, the platform had
+  /// no newer change. 0 if the adapter does not know it.
   Duration m_Age{};
 };
 
-/// One entry of the platform's list of instances, which lags.
+/// One entry of the platform's list of instances, which is updated with a
+/// delay.
 struct PlatformInstance {
   std::string m_Name;
   std::string m_Address;
@@ -46,10 +47,10 @@
   bool m_Leaving = false;
 };
 
-/// What each adapter and each fake of the platform offers; Platform says what
-/// the calls do.
+/// Interface that every adapter and every fake of the platform satisfies. See
+/// Platform for what the calls do.
 template <typename T>
-concept PlatformPort = requires(T &At, const T &Seen, std::string Text,
+concept PlatformPort = requires(T &At, const T &Const, std::string Text,
                                 PlatformObject Object,
                                 std::vector<std::string> Kinds, Revision Since,
                                 std::function<bool(PlatformEvent)> OnEvent) {
@@ -68,13 +69,14 @@
   {
     At.instances()
     } -> std::same_as<asio::awaitable<Outcome<std::vector<PlatformInstance>>>>;
-  { Seen.calls() } -> std::same_as<std::uint64_t>;
+  { Const.calls() } -> std::same_as<std::uint64_t>;
 };
 
-/// The platform's object interface. Every call costs. Errors: NotFound,
+/// The platform's object interface. Calls are costly. Errors: NotFound,
 /// Conflict (a precondition failed), Unavailable (not done), Timeout (a write
-/// may have taken effect: read back), InvalidInput (refused, or an answer that
-/// cannot be read). Adapters register themselves with AdapterRegistration.
+/// may have taken effect: read the object back), InvalidInput (request rejected
+/// or response malformed). Adapters register themselves with
+/// AdapterRegistration.
 class Platform {
 public:
   Platform() = default;
@@ -85,31 +87,36 @@
   virtual asio::awaitable<Outcome<PlatformObject>> get(std::string Kind,
                                                        std::string Name) = 0;
   virtual asio::awaitable<Outcome<PlatformList>> list(std::string Kind) = 0;
-  /// May be some seconds old, where that costs less.
+  /// Like list(), but the result may be some seconds old if that is cheaper for
+  /// the platform.
   virtual asio::awaitable<Outcome<PlatformList>> listOld(std::string Kind) {
     return list(std::move(Kind));
   }
-  /// What changed since a revision of the kind that is known, without waiting;
-  /// where that cannot be asked, all. NotFound means that it is too old.
+  /// Returns the changes of a kind since a known revision without waiting, or
+  /// the complete list if the platform cannot return changes. NotFound means
+  /// that the revision is too old.
   virtual asio::awaitable<Outcome<PlatformList>> changes(std::string Kind,
                                                          Revision /*Since*/) {
     return list(std::move(Kind));
   }
-  /// Replaces the object if it still has that revision; gives the new one.
+  /// Replaces the object if it still has the given revision and returns the new
+  /// revision.
   virtual asio::awaitable<Outcome<Revision>> update(PlatformObject Object) = 0;
   virtual asio::awaitable<Outcome<Revision>>
   create(std::string Kind, std::string Name, std::string Json) = 0;
   virtual asio::awaitable<Outcome<Revision>>
-  remove(std::string Kind, std::string Name, Revision Seen) = 0;
-  /// Calls back for each event until the watch ends or the callback returns
-  /// false; then tells why. NotFound means that Since is too old: list again.
+  remove(std::string Kind, std::string Name, Revision Expected) = 0;
+  /// Calls OnEvent for each event until the watch ends or OnEvent returns
+  /// false, then returns the reason. NotFound means that Since is too old: list
+  /// again.
   virtual asio::awaitable<Error>
   watch(std::vector<std::string> Kinds, Revision Since,
         std::function<bool(PlatformEvent)> OnEvent) = 0;
   virtual asio::awaitable<Outcome<std::vector<PlatformInstance>>>
   instances() = 0;
 
-  /// Calls made so far; a watch counts as one when it is opened.
+  /// Number of calls made so far. A watch counts as one call, when it is
+  /// opened.
   virtual std::uint64_t calls() const = 0;
 };
 
--- a/test/adapters-test.cc
+++ b/test/adapters-test.cc
@@ -9,48 +9,48 @@
 
 namespace {
 
-TEST(Adapters, AreFoundByTheAddressesScheme) {
-  using Known = net::Adapters<net::Platform>;
+TEST(Adapters, AreSelectedByTheSchemeOfTheAddress) {
+  using PlatformAdapters = net::Adapters<net::Platform>;
   using net::PortAddress;
   EXPECT_EQ(net::parsePortAddress("127.0.0.1:1"),
             (PortAddress{"http", "127.0.0.1:1"}));
   EXPECT_EQ(net::parsePortAddress("store://a/b"),
             (PortAddress{"store", "a/b"}));
-  EXPECT_TRUE(Known::knows("127.0.0.1:1"));
-  EXPECT_TRUE(Known::knows("http://127.0.0.1:1"));
-  EXPECT_FALSE(Known::knows("store://a"));
+  EXPECT_TRUE(PlatformAdapters::knows("127.0.0.1:1"));
+  EXPECT_TRUE(PlatformAdapters::knows("http://127.0.0.1:1"));
+  EXPECT_FALSE(PlatformAdapters::knows("store://a"));
   net::HttpClient Http;
-  EXPECT_EQ(Known::make(Http, "store://a"), nullptr);
-  EXPECT_NE(Known::make(Http, "127.0.0.1:1"), nullptr);
+  EXPECT_EQ(PlatformAdapters::make(Http, "store://a"), nullptr);
+  EXPECT_NE(PlatformAdapters::make(Http, "127.0.0.1:1"), nullptr);
 }
 
-/// A port of the test's own, with an adapter of another scheme.
-class Place {
+/// A port that only this test uses, with an adapter for a scheme of its own.
+class TestPort {
 public:
-  virtual ~Place() = default;
-  virtual std::string rest() const = 0;
+  virtual ~TestPort() = default;
+  virtual std::string location() const = 0;
 };
 
-class ElsewherePlace final : public Place {
+class ElsewhereAdapter final : public TestPort {
 public:
-  ElsewherePlace(net::HttpClient &, std::string Rest)
-      : m_Rest(std::move(Rest)) {}
-  std::string rest() const override { return m_Rest; }
+  ElsewhereAdapter(net::HttpClient &, std::string Location)
+      : m_Location(std::move(Location)) {}
+  std::string location() const override { return m_Location; }
 
 private:
-  std::string m_Rest;
+  std::string m_Location;
 };
 
-const net::AdapterRegistration<Place, ElsewherePlace>
+const net::AdapterRegistration<TestPort, ElsewhereAdapter>
     RegisteredElsewhere("elsewhere");
 
-TEST(Adapters, OneThatRegistersItselfIsMadeForItsScheme) {
+TEST(Adapters, ARegisteredAdapterIsCreatedForItsScheme) {
   net::HttpClient Http;
-  const auto Made = net::Adapters<Place>::make(Http, "elsewhere://a/b?c");
-  ASSERT_NE(Made, nullptr);
-  EXPECT_EQ(Made->rest(), "a/b?c");
-  EXPECT_EQ(net::Adapters<Place>::schemes(), "elsewhere");
-  EXPECT_EQ(net::Adapters<Place>::make(Http, "127.0.0.1:1"), nullptr);
+  const auto Created = net::Adapters<TestPort>::make(Http, "elsewhere://a/b?c");
+  ASSERT_NE(Created, nullptr);
+  EXPECT_EQ(Created->location(), "a/b?c");
+  EXPECT_EQ(net::Adapters<TestPort>::schemes(), "elsewhere");
+  EXPECT_EQ(net::Adapters<TestPort>::make(Http, "127.0.0.1:1"), nullptr);
 }
 
 } // namespace
