--- a/test/engine-port-test.cc
+++ b/test/engine-port-test.cc
@@ -1,5 +1,5 @@
-// The engine's contract, held by the HTTP adapter over the stand-in and by the
-// fake within this process.
+// Contract tests of the engine port, run against the HTTP adapter with the
+// stand-in process and against the in-process fake.
 #include "fake-engine.h"
 #include "fake-origin.h"
 #include "port-subjects.h"
@@ -13,10 +13,10 @@
 
 namespace {
 
-class HttpEngineSubject : public OverHttp<net::Engine> {
+class HttpEngineSubject : public HttpSubject<net::Engine> {
 public:
-  HttpEngineSubject() : OverHttp("engine") {
-    switchTo(R"({"strictFencing":true})");
+  HttpEngineSubject() : HttpSubject("engine") {
+    injectFaults(R"({"strictFencing":true})");
   }
 };
 
@@ -111,7 +111,7 @@
   EXPECT_EQ(Status.m_Fence, FencingNumber{5});
 }
 
-TYPED_TEST(EnginePortContract, NeedsAFreeSlotWhichUnloadGives) {
+TYPED_TEST(EnginePortContract, LoadNeedsAFreeSlotAndUnloadReleasesOne) {
   const WeightsId Next{"m@2"};
   this->stageBoth(this->m_Weights);
   this->stageBoth(Next);
--- a/test/fake-engine.h
+++ b/test/fake-engine.h
@@ -1,4 +1,4 @@
-// An engine's weights within the test's process; checks fencing numbers.
+// An in-process fake of an engine, which checks fencing numbers.
 #pragma once
 
 #include "net/engine.h"
@@ -103,7 +103,7 @@
     return std::nullopt;
   }
 
-  EngineStatus m_Status; ///< but for staging
+  EngineStatus m_Status; ///< without m_Staging, which status() fills in
   std::map<WeightsId, std::map<std::uint32_t, std::string>> m_Staging;
 };
 
--- a/test/fake-origin.h
+++ b/test/fake-origin.h
@@ -1,4 +1,4 @@
-// An origin of weights within the test's process.
+// An in-process fake of an origin of weights.
 #pragma once
 
 #include "net/origin.h"
@@ -10,7 +10,7 @@
 
 class FakeOrigin : public net::Origin {
 public:
-  /// Content that is a pure function of the seed.
+  /// Adds weights whose content depends only on the seed and the size.
   void add(const WeightsId &Weights, std::uint64_t Bytes,
            std::uint32_t ChunkBytes, std::uint64_t Seed) {
     Content Made{{Weights, Bytes, ChunkBytes, {}, {}, {}},
--- a/test/fake-platform.cc
+++ b/test/fake-platform.cc
@@ -42,23 +42,23 @@
 
 std::optional<Error> FakePlatform::writeFault(const std::string &Kind,
                                               const std::string &Name,
-                                              Revision Seen) {
+                                              Revision Expected) {
   ++m_Calls;
   if (m_Outage)
     return Error{ErrorCode::Timeout, "outage"};
   const standins::StoredObject *Current = m_Store.find(Kind, Name);
-  if (Seen.m_Value == 0 && !Current)
+  if (Expected.m_Value == 0 && !Current)
     return std::nullopt;
   if (!Current)
     return Error{ErrorCode::NotFound, "no such object"};
-  if (Current->m_Revision != Seen.m_Value)
+  if (Current->m_Revision != Expected.m_Value)
     return Error{ErrorCode::Conflict, "another write came first"};
   return std::nullopt;
 }
 
-Outcome<Revision> FakePlatform::written(std::uint64_t At) {
+Outcome<Revision> FakePlatform::finishWrite(std::uint64_t At) {
   m_Changed.cancel();
-  if (std::exchange(m_LoseNext, false))
+  if (std::exchange(m_LoseNextAnswer, false))
     return Error{ErrorCode::Timeout, "the answer is lost"};
   return Revision{At};
 }
@@ -72,7 +72,7 @@
     return Error{ErrorCode::InvalidInput, "the value is not JSON"};
   if (Json.size() > MaxValueBytes)
     return Error{ErrorCode::InvalidInput, "the value is too large"};
-  return written(m_Store.put(Kind, Name, boost::json::serialize(Value)));
+  return finishWrite(m_Store.put(Kind, Name, boost::json::serialize(Value)));
 }
 
 asio::awaitable<Outcome<net::PlatformObject>>
@@ -111,10 +111,10 @@
 }
 
 asio::awaitable<Outcome<Revision>>
-FakePlatform::remove(std::string Kind, std::string Name, Revision Seen) {
-  if (const auto Fault = writeFault(Kind, Name, Seen))
+FakePlatform::remove(std::string Kind, std::string Name, Revision Expected) {
+  if (const auto Fault = writeFault(Kind, Name, Expected))
     co_return *Fault;
-  co_return written(m_Store.remove(Kind, Name));
+  co_return finishWrite(m_Store.remove(Kind, Name));
 }
 
 asio::awaitable<Error>
@@ -122,7 +122,8 @@
                     std::function<bool(net::PlatformEvent)> OnEvent) {
   if (const auto Fault = readFault())
     co_return *Fault;
-  const Error EndedHere{ErrorCode::Unavailable, "the watch was ended here"};
+  const Error EndedByCallback{ErrorCode::Unavailable,
+                              "the watch was ended here"};
   std::uint64_t Sent = Since.m_Value;
   while (!m_Outage) {
     if (!m_Store.canContinueFrom(Sent))
@@ -132,12 +133,12 @@
       const bool Wanted = std::find(Kinds.begin(), Kinds.end(),
                                     Next.m_Object.m_Kind) != Kinds.end();
       if (Wanted && !OnEvent(eventOf(Next)))
-        co_return EndedHere;
+        co_return EndedByCallback;
     }
     net::PlatformEvent Bookmark{net::PlatformEvent::Type::Bookmark,
                                 {{}, {}, {Sent}, {}}};
     if (!OnEvent(std::move(Bookmark)))
-      co_return EndedHere;
+      co_return EndedByCallback;
     co_await m_Changed.async_wait(asio::as_tuple(asio::use_awaitable));
   }
   co_return Error{ErrorCode::Unavailable, "outage"};
--- a/test/fake-platform.h
+++ b/test/fake-platform.h
@@ -1,4 +1,4 @@
-// A platform within the test's process, behind the same port as the real one.
+// An in-process fake of the platform, behind the same port as the adapters.
 #pragma once
 
 #include "net/platform.h"
@@ -10,17 +10,17 @@
 
 namespace deckpitch::test {
 
-/// Lives on one loop.
+/// Not thread-safe: all calls must be made on the event loop of Io.
 class FakePlatform : public net::Platform {
 public:
   explicit FakePlatform(boost::asio::io_context &Io);
 
-  /// Refuses everything and breaks the watches that are open.
+  /// While on, all calls fail. Turning it on ends the open watches.
   void setOutage(bool On);
-  /// The next write takes effect, its answer is lost.
-  void loseNextAnswer() { m_LoseNext = true; }
-  /// Older watches cannot continue.
-  void forgetHistory() { m_Store.compact(); }
+  /// The next write takes effect, but returns Timeout.
+  void loseNextAnswer() { m_LoseNextAnswer = true; }
+  /// Drops the history, so that watches from older revisions fail.
+  void compactHistory() { m_Store.compact(); }
   void setInstances(std::vector<net::PlatformInstance> List) {
     m_Instances = std::move(List);
   }
@@ -34,7 +34,7 @@
   boost::asio::awaitable<Outcome<Revision>>
   create(std::string Kind, std::string Name, std::string Json) override;
   boost::asio::awaitable<Outcome<Revision>>
-  remove(std::string Kind, std::string Name, Revision Seen) override;
+  remove(std::string Kind, std::string Name, Revision Expected) override;
   boost::asio::awaitable<Error>
   watch(std::vector<std::string> Kinds, Revision Since,
         std::function<bool(net::PlatformEvent)> OnEvent) override;
@@ -44,10 +44,11 @@
 
 private:
   std::optional<Error> readFault();
-  /// Why a write to the object that has this revision is refused, if it is.
+  /// Returns the reason to refuse a write that expects the object to have this
+  /// revision, if there is one.
   std::optional<Error> writeFault(const std::string &Kind,
-                                  const std::string &Name, Revision Seen);
-  Outcome<Revision> written(std::uint64_t At);
+                                  const std::string &Name, Revision Expected);
+  Outcome<Revision> finishWrite(std::uint64_t At);
   Outcome<Revision> put(const std::string &Kind, const std::string &Name,
                         const std::string &Json);
 
@@ -56,7 +57,7 @@
   boost::asio::steady_timer m_Changed;
   std::uint64_t m_Calls = 0;
   bool m_Outage = false;
-  bool m_LoseNext = false;
+  bool m_LoseNextAnswer = false;
 };
 
 static_assert(net::PlatformPort<FakePlatform>);
--- a/test/origin-port-test.cc
+++ b/test/origin-port-test.cc
@@ -1,5 +1,5 @@
-// The origin's contract, held by the HTTP adapter over the stand-in and by the
-// fake within this process.
+// Contract tests of the origin port, run against the HTTP adapter with the
+// stand-in process and against the in-process fake.
 #include "fake-origin.h"
 #include "port-subjects.h"
 
@@ -8,16 +8,16 @@
 
 namespace {
 
-class HttpOriginSubject : public OverHttp<net::Origin> {
+class HttpOriginSubject : public HttpSubject<net::Origin> {
 public:
-  HttpOriginSubject() : OverHttp("origin") {}
+  HttpOriginSubject() : HttpSubject("origin") {}
 
   void add(const WeightsId &Weights, std::uint64_t Bytes,
            std::uint32_t ChunkBytes, std::uint64_t Seed) {
     const boost::json::object Body{
         {"bytes", Bytes}, {"chunkBytes", ChunkBytes}, {"seed", Seed}};
-    tell("PUT", "/_standin/weights/" + Weights.m_Text,
-         boost::json::serialize(Body));
+    sendCommand("PUT", "/_standin/weights/" + Weights.m_Text,
+                boost::json::serialize(Body));
   }
 };
 
@@ -39,7 +39,7 @@
   Outcome<net::OriginChunk> chunk(const Manifest &Of, std::uint32_t Index) {
     const net::OriginPace Paced =
         [this](std::size_t Count) -> asio::awaitable<void> {
-      m_Paced += Count;
+      m_PacedBytes += Count;
       co_return;
     };
     return m_Loop.await(m_Subject.port().chunk(Of, Index, Paced));
@@ -48,13 +48,13 @@
   const WeightsId m_Weights{"m@1"};
   Loop m_Loop;
   Subject m_Subject;
-  std::size_t m_Paced = 0;
+  std::size_t m_PacedBytes = 0;
 };
 
 using OriginSubjects = testing::Types<HttpOriginSubject, FakeOriginSubject>;
 TYPED_TEST_SUITE(OriginPortContract, OriginSubjects);
 
-TYPED_TEST(OriginPortContract, GivesAManifestAndChunksThatMatchIt) {
+TYPED_TEST(OriginPortContract, ReturnsAManifestAndChunksThatMatchIt) {
   const auto Of = this->manifest(this->m_Weights);
   ASSERT_TRUE(Of);
   EXPECT_EQ(Of->m_Weights, this->m_Weights);
@@ -68,7 +68,7 @@
     EXPECT_NE(Chunk->m_Tag.find(toHex(Of->m_Whole)), std::string::npos);
   }
   EXPECT_EQ(Content, standins::contentBytes(7, 0, this->Bytes));
-  EXPECT_EQ(this->m_Paced, this->Bytes);
+  EXPECT_EQ(this->m_PacedBytes, this->Bytes);
 }
 
 TYPED_TEST(OriginPortContract, UnknownWeightsAreNotFound) {
--- a/test/port-contract-test.cc
+++ b/test/port-contract-test.cc
@@ -1,5 +1,5 @@
-// The platform's contract, held by the HTTP adapter over the stand-in and by
-// the fake within this process.
+// Contract tests of the platform port, run against the HTTP adapter with the
+// stand-in process and against the in-process fake.
 #include "fake-platform.h"
 #include "port-subjects.h"
 
@@ -13,12 +13,12 @@
 
 namespace {
 
-class HttpPlatformSubject : public OverHttp<net::Platform> {
+class HttpPlatformSubject : public HttpSubject<net::Platform> {
 public:
-  explicit HttpPlatformSubject(asio::io_context &) : OverHttp("platform") {}
+  explicit HttpPlatformSubject(asio::io_context &) : HttpSubject("platform") {}
 
-  void loseNextAnswer() { switchTo(R"({"loseAnswers":1})"); }
-  void forgetHistory() { tell("POST", "/_standin/compact", ""); }
+  void loseNextAnswer() { injectFaults(R"({"loseAnswers":1})"); }
+  void compactHistory() { sendCommand("POST", "/_standin/compact", ""); }
   void setInstances(const std::vector<PlatformInstance> &List) {
     boost::json::array Items;
     for (const PlatformInstance &Each : List)
@@ -28,7 +28,7 @@
                               {"dataCentre", Each.m_DataCentre},
                               {"state", Each.m_Leaving ? "leaving" : "live"}});
     const boost::json::object Body{{"items", std::move(Items)}};
-    tell("PUT", "/_standin/instances", boost::json::serialize(Body));
+    sendCommand("PUT", "/_standin/instances", boost::json::serialize(Body));
   }
 };
 
@@ -40,7 +40,7 @@
 
 template <typename Subject> class PlatformContract : public testing::Test {
 protected:
-  using Seen = std::vector<std::string>;
+  using EventTexts = std::vector<std::string>;
 
   auto &port() { return m_Subject.port(); }
 
@@ -63,9 +63,10 @@
            (Name.empty() ? "" : " " + Name + Event.m_Object.m_Json);
   }
 
-  /// What a watch over pools tells up to its first bookmark.
-  Seen watch(Revision Since) {
-    Seen Out;
+  /// Returns the events of a watch on pools up to and including its first
+  /// bookmark.
+  EventTexts watch(Revision Since) {
+    EventTexts Out;
     const auto OnEvent = [&Out](const PlatformEvent &Event) {
       Out.push_back(textOf(Event));
       return Event.m_Type != PlatformEvent::Type::Bookmark;
@@ -92,7 +93,7 @@
   EXPECT_EQ(*Got, (net::PlatformObject{"pools", "a", *At, R"({"x":1})"}));
 }
 
-TYPED_TEST(PlatformContract, UpdatesTheSeenRevisionOnly) {
+TYPED_TEST(PlatformContract, UpdatesTheExpectedRevisionOnly) {
   EXPECT_EQ(codeOf(this->update({1}, "{}")), ErrorCode::NotFound);
   const auto First = this->create("pools", "a", R"({"x":1})");
   ASSERT_TRUE(First);
@@ -103,9 +104,9 @@
   EXPECT_EQ(this->read("a"), R"({"x":2})");
 }
 
-TYPED_TEST(PlatformContract, RemovesTheSeenRevisionOnly) {
-  const auto Remove = [this](Revision Seen) {
-    return this->m_Loop.await(this->port().remove("pools", "a", Seen));
+TYPED_TEST(PlatformContract, RemovesTheExpectedRevisionOnly) {
+  const auto Remove = [this](Revision Expected) {
+    return this->m_Loop.await(this->port().remove("pools", "a", Expected));
   };
   EXPECT_EQ(codeOf(Remove({1})), ErrorCode::NotFound);
   const auto At = this->create("pools", "a", "{}");
@@ -118,7 +119,7 @@
             ErrorCode::NotFound);
 }
 
-TYPED_TEST(PlatformContract, RefusesValuesThatAreNoJsonOrTooLarge) {
+TYPED_TEST(PlatformContract, RefusesValuesThatAreNotJsonOrTooLarge) {
   EXPECT_EQ(codeOf(this->create("pools", "a", "{")), ErrorCode::InvalidInput);
   const std::string Limit(1024 * 1024 - 2, 'x');
   EXPECT_EQ(codeOf(this->create("pools", "a", "\"x" + Limit + "\"")),
@@ -157,7 +158,7 @@
   EXPECT_EQ(this->m_WatchEnd.m_Code, ErrorCode::Unavailable);
 }
 
-TYPED_TEST(PlatformContract, AnOpenWatchTellsAWrite) {
+TYPED_TEST(PlatformContract, AnOpenWatchReportsAWrite) {
   std::vector<std::string> Seen;
   std::optional<Error> End;
   auto Follow = [&]() -> asio::awaitable<void> {
@@ -177,11 +178,11 @@
   EXPECT_EQ(Seen.back(), "put a{}");
 }
 
-TYPED_TEST(PlatformContract, AWatchThatIsTooOldIsNotFound) {
+TYPED_TEST(PlatformContract, AWatchFromACompactedRevisionIsNotFound) {
   const auto At = this->create("pools", "a", "{}");
   ASSERT_TRUE(At);
   ASSERT_TRUE(this->update(*At, "{}"));
-  this->m_Subject.forgetHistory();
+  this->m_Subject.compactHistory();
   EXPECT_TRUE(this->watch(*At).empty());
   EXPECT_EQ(this->m_WatchEnd.m_Code, ErrorCode::NotFound);
 }
@@ -211,7 +212,7 @@
   EXPECT_EQ(this->read("a"), R"({"x":2})");
 }
 
-TYPED_TEST(PlatformContract, GivesTheListOfInstances) {
+TYPED_TEST(PlatformContract, ReturnsTheListOfInstances) {
   this->m_Subject.setInstances(
       {{"i", "127.0.0.1:1", "lahore", false}, {"j", "", "multan", true}});
   const auto List = this->m_Loop.await(this->port().instances());
--- a/test/port-subjects.h
+++ b/test/port-subjects.h
@@ -1,4 +1,4 @@
-// What the contract tests of the ports share.
+// Helpers shared by the contract tests of the ports.
 #pragma once
 
 #include "harness.h"
@@ -14,22 +14,23 @@
 
 namespace asio = boost::asio;
 
-/// A stand-in process and the adapter that the registry gives for it.
-template <typename Port> class OverHttp {
+/// Runs a stand-in process and creates the HTTP adapter for it through the
+/// registry.
+template <typename Port> class HttpSubject {
 public:
-  explicit OverHttp(const std::string &Kind)
+  explicit HttpSubject(const std::string &Kind)
       : m_Process("deckpitch-standins", {"--kind=" + Kind, "--engines=1",
                                          "--slots=1", "--strict_fencing=true"}),
         m_Address(m_Process.announcement().at("address").as_string().c_str()),
         m_Port(net::Adapters<Port>::make(m_Http, "http://" + m_Address)) {}
 
   Port &port() { return *m_Port; }
-  void setOutage(bool On) { switchTo(On ? R"({"outage":true})" : "{}"); }
-  void switchTo(const std::string &Faults) {
+  void setOutage(bool On) { injectFaults(On ? R"({"outage":true})" : "{}"); }
+  void injectFaults(const std::string &Faults) {
     EXPECT_TRUE(setFaults(m_Address, Faults));
   }
-  void tell(const std::string &Method, const std::string &Target,
-            const std::string &Body) {
+  void sendCommand(const std::string &Method, const std::string &Target,
+                   const std::string &Body) {
     EXPECT_EQ(statusOf(call(m_Address, Method, Target, Body)), 200U);
   }
 
@@ -40,7 +41,7 @@
   std::unique_ptr<Port> m_Port;
 };
 
-/// Runs coroutines of the port one after another.
+/// An event loop that runs coroutines of a port one at a time.
 class Loop {
 public:
   asio::io_context &io() { return m_Io; }
