--- a/src/adapters/origin-http.cc
+++ b/src/adapters/origin-http.cc
@@ -36,7 +36,7 @@
 
   asio::awaitable<Outcome<Manifest>> manifest(WeightsId Weights) override;
   asio::awaitable<Outcome<OriginChunk>>
-  chunk(const Manifest &Of, std::uint32_t Index, OriginPace Paced) override;
+  chunk(const Manifest &Of, std::uint32_t Index, OriginPacer Pacer) override;
 
 private:
   HttpClient &m_Http;
@@ -59,7 +59,7 @@
 }
 
 asio::awaitable<Outcome<OriginChunk>>
-HttpOrigin::chunk(const Manifest &Of, std::uint32_t Index, OriginPace Paced) {
+HttpOrigin::chunk(const Manifest &Of, std::uint32_t Index, OriginPacer Pacer) {
   const std::uint64_t First = Of.chunkOffset(Index);
   const std::uint32_t Length = Of.chunkLength(Index);
   HttpRequest Request{"GET", pathOf(Of.m_Weights, "content")};
@@ -80,7 +80,7 @@
       co_return Piece.error();
     if (Piece->empty())
       co_return Out;
-    co_await Paced(Piece->size());
+    co_await Pacer(Piece->size());
     if (Out.m_Bytes.size() + Piece->size() > Length)
       co_return Error{ErrorCode::CorruptData,
                       "origin sent more bytes than requested"};
--- a/src/daemon/module.h
+++ b/src/daemon/module.h
@@ -43,7 +43,7 @@
   /// Returns the upstream's address without the scheme: requests go over
   /// HTTP, whichever adapter the scheme names.
   std::string requestAddress() const {
-    return net::parsePortAddress(m_Settings.m_Upstream.m_Address).m_Rest;
+    return net::parsePortAddress(m_Settings.m_Upstream.m_Address).m_Location;
   }
   Addresses m_Addresses; ///< bound addresses; set before any start()
   net::ControlBus *m_Bus = nullptr;
--- a/src/direct/agent.cc
+++ b/src/direct/agent.cc
@@ -151,7 +151,7 @@
       m_Adapter(*fleetAdapter()), m_Store(net::Adapters<net::Platform>::make(
                                       m_Http, Context.m_Settings.m_Store)),
       m_InstanceAddress(
-          net::parsePortAddress(Context.m_Settings.m_Upstream).m_Rest),
+          net::parsePortAddress(Context.m_Settings.m_Upstream).m_Location),
       m_Engine(net::Adapters<net::Engine>::make(m_Http,
                                                 Context.m_Settings.m_Upstream)),
       m_Link(m_Io, Context.m_Incarnation),
--- a/src/direct/fleet-instances.cc
+++ b/src/direct/fleet-instances.cc
@@ -78,8 +78,8 @@
 
 asio::awaitable<bool> FleetFollower::listOldInstances() {
   const TimePoint Asked = now();
-  co_return handleInstances(co_await m_Store.listOld(m_Kinds.m_Instances),
-                            Asked);
+  co_return handleInstances(
+      co_await m_Store.listAllowStale(m_Kinds.m_Instances), Asked);
 }
 
 bool FleetFollower::handleInstances(const Outcome<net::PlatformList> &List,
--- a/src/net/adapters.h
+++ b/src/net/adapters.h
@@ -17,7 +17,7 @@
 /// HTTP.
 struct PortAddress {
   std::string m_Scheme;
-  std::string m_Rest;
+  std::string m_Location;
 
   friend bool operator==(const PortAddress &, const PortAddress &) = default;
 };
@@ -58,7 +58,7 @@
     const auto Found = list().find(Parsed.m_Scheme);
     if (Found == list().end())
       return nullptr;
-    return Found->second(Http, std::move(Parsed.m_Rest));
+    return Found->second(Http, std::move(Parsed.m_Location));
   }
 
 private:
--- a/src/net/origin.h
+++ b/src/net/origin.h
@@ -19,15 +19,15 @@
 
 /// Awaited with the size of each piece received, to limit the rate at which the
 /// reader uses its link.
-using OriginPace = std::function<asio::awaitable<void>(std::size_t Bytes)>;
+using OriginPacer = std::function<asio::awaitable<void>(std::size_t Bytes)>;
 
 /// Interface that every adapter and every fake of an origin satisfies.
 template <typename T>
 concept OriginPort = requires(T &At, WeightsId Weights, const Manifest &Of,
-                              std::uint32_t Index, OriginPace Paced) {
+                              std::uint32_t Index, OriginPacer Pacer) {
   { At.manifest(Weights) } -> std::same_as<asio::awaitable<Outcome<Manifest>>>;
   {
-    At.chunk(Of, Index, Paced)
+    At.chunk(Of, Index, Pacer)
     } -> std::same_as<asio::awaitable<Outcome<OriginChunk>>>;
 };
 
@@ -43,7 +43,7 @@
 
   virtual asio::awaitable<Outcome<Manifest>> manifest(WeightsId Weights) = 0;
   virtual asio::awaitable<Outcome<OriginChunk>>
-  chunk(const Manifest &Of, std::uint32_t Index, OriginPace Paced) = 0;
+  chunk(const Manifest &Of, std::uint32_t Index, OriginPacer Pacer) = 0;
 };
 
 static_assert(OriginPort<Origin>);
--- a/src/net/platform.h
+++ b/src/net/platform.h
@@ -89,7 +89,8 @@
   virtual asio::awaitable<Outcome<PlatformList>> list(std::string Kind) = 0;
   /// Like list(), but the result may be some seconds old if that is cheaper for
   /// the platform.
-  virtual asio::awaitable<Outcome<PlatformList>> listOld(std::string Kind) {
+  virtual asio::awaitable<Outcome<PlatformList>>
+  listAllowStale(std::string Kind) {
     return list(std::move(Kind));
   }
   /// Returns the changes of a kind since a known revision without waiting, or
--- a/test/fake-origin.h
+++ b/test/fake-origin.h
@@ -37,7 +37,7 @@
 
   net::asio::awaitable<Outcome<net::OriginChunk>>
   chunk(const Manifest &Of, std::uint32_t Index,
-        net::OriginPace Paced) override {
+        net::OriginPacer Pacer) override {
     if (m_Outage)
       co_return Error{ErrorCode::Unavailable, "outage"};
     const auto Found = m_Contents.find(Of.m_Weights);
@@ -47,7 +47,7 @@
     net::OriginChunk Out{
         From.m_Bytes.substr(Of.chunkOffset(Index), Of.chunkLength(Index)),
         toHex(From.m_Manifest.m_Whole)};
-    co_await Paced(Out.m_Bytes.size());
+    co_await Pacer(Out.m_Bytes.size());
     co_return Out;
   }
 
--- a/test/origin-port-test.cc
+++ b/test/origin-port-test.cc
@@ -37,12 +37,12 @@
     return m_Loop.await(m_Subject.port().manifest(Of));
   }
   Outcome<net::OriginChunk> chunk(const Manifest &Of, std::uint32_t Index) {
-    const net::OriginPace Paced =
+    const net::OriginPacer Pacer =
         [this](std::size_t Count) -> asio::awaitable<void> {
       m_PacedBytes += Count;
       co_return;
     };
-    return m_Loop.await(m_Subject.port().chunk(Of, Index, Paced));
+    return m_Loop.await(m_Subject.port().chunk(Of, Index, Pacer));
   }
 
   const WeightsId m_Weights{"m@1"};
