--- a/support/fuzz/bulk-target.cc
+++ b/support/fuzz/bulk-target.cc
@@ -1,4 +1,5 @@
-// Frames between agents: lengths and headers within their limits, or refused.
+// Bulk frames between agents: lengths and headers stay within their limits, or
+// are rejected.
 #include "fuzz/check.h"
 #include "fuzz/input-reader.h"
 #include "fuzz/targets.h"
@@ -13,9 +14,11 @@
   const auto Length = outcomeOf([&] { return net::parseBulkLength(Prefix); });
   require(!Length || (*Length > 0 && *Length <= net::MaxBulkHeaderBytes),
           "a header is no longer than the limit");
-  // A wrong length must not hide the rest from the fuzzer.
-  const std::string Head = Length ? Reader.text(*Length) : Reader.rest();
-  const auto Header = outcomeOf([&] { return net::parseBulkHeader(Head); });
+  // With an invalid length, all that follows is parsed as the header, so that
+  // the fuzzer still reaches the header's parser.
+  const std::string HeaderText = Length ? Reader.text(*Length) : Reader.rest();
+  const auto Header =
+      outcomeOf([&] { return net::parseBulkHeader(HeaderText); });
   if (!Header)
     return;
   require(Header->piece().length() <= net::MaxBulkPieceBytes,
@@ -24,11 +27,11 @@
   const auto Size = outcomeOf(
       [&] { return net::parseBulkLength(Frame.substr(0, PrefixBytes)); });
   require(Size && *Size == Frame.size() - PrefixBytes,
-          "a frame tells its header's length");
+          "a frame starts with the length of its header");
   const auto Again = outcomeOf(
       [&] { return net::parseBulkHeader(Frame.substr(PrefixBytes)); });
   require(Again && Again->SerializeAsString() == Header->SerializeAsString(),
-          "a header reads to the same message once written again");
+          "a header survives a round trip through its frame");
 }
 
 } // namespace deckpitch::fuzz
--- a/support/fuzz/check.h
+++ b/support/fuzz/check.h
@@ -1,4 +1,4 @@
-// How a target says that something does not hold.
+// Property checks of the fuzz targets.
 #pragma once
 
 #include <stdexcept>
@@ -6,14 +6,14 @@
 
 namespace deckpitch::fuzz {
 
-class BrokenProperty : public std::logic_error {
+class PropertyViolation : public std::logic_error {
 public:
   using std::logic_error::logic_error;
 };
 
 inline void require(bool Holds, const std::string &Property) {
   if (!Holds)
-    throw BrokenProperty(Property);
+    throw PropertyViolation(Property);
 }
 
 } // namespace deckpitch::fuzz
--- a/support/fuzz/input-reader.h
+++ b/support/fuzz/input-reader.h
@@ -1,4 +1,4 @@
-// Takes an input apart, from its begin to its end.
+// Sequential reader for the input of a fuzz target.
 #pragma once
 
 #include "fuzz/targets.h"
@@ -10,32 +10,32 @@
 
 namespace deckpitch::fuzz {
 
-/// An input that has ended goes on with zeros.
+/// InputReader reads bytes and texts; past the end, byte() returns zeros.
 class InputReader {
 public:
-  explicit InputReader(Bytes Input) : m_Left(Input) {}
+  explicit InputReader(Bytes Input) : m_Remaining(Input) {}
 
-  bool atEnd() const { return m_Left.empty(); }
+  bool atEnd() const { return m_Remaining.empty(); }
 
   std::uint8_t byte() {
     if (atEnd())
       return 0;
-    const std::uint8_t Value = m_Left.front();
-    m_Left = m_Left.subspan(1);
+    const std::uint8_t Value = m_Remaining.front();
+    m_Remaining = m_Remaining.subspan(1);
     return Value;
   }
 
-  /// So many bytes, or fewer where the input ends.
+  /// Returns the next Size bytes, or fewer at the end of the input.
   std::string text(std::size_t Size) {
-    const Bytes Taken = m_Left.first(std::min(Size, m_Left.size()));
-    m_Left = m_Left.subspan(Taken.size());
-    return {Taken.begin(), Taken.end()};
+    const Bytes Prefix = m_Remaining.first(std::min(Size, m_Remaining.size()));
+    m_Remaining = m_Remaining.subspan(Prefix.size());
+    return {Prefix.begin(), Prefix.end()};
   }
 
-  std::string rest() { return text(m_Left.size()); }
+  std::string rest() { return text(m_Remaining.size()); }
 
 private:
-  Bytes m_Left;
+  Bytes m_Remaining;
 };
 
 } // namespace deckpitch::fuzz
--- a/support/fuzz/known-list.cc
+++ b/support/fuzz/known-list.cc
@@ -5,15 +5,15 @@
 
 namespace deckpitch::fuzz {
 
-void KnownList::hear(const wire::InstancesNews &News) {
+void KnownList::checkAndApply(const wire::InstancesNews &News) {
   const InstanceListChange Change = direct::read(News);
-  checkAsTold(Change);
-  checkNamedRight(Change);
-  checkLeadsTo(direct::readWhole(News));
+  checkApplication(Change);
+  checkMatchingFingerprints(Change);
+  checkDifference(direct::readWhole(News));
   m_Known = applied(Change);
 }
 
-/// By each step by itself, as a second opinion.
+/// Applies the change without applyChange, as a reference for its result.
 InstanceList KnownList::applied(const InstanceListChange &Change) const {
   InstanceList Out = m_Known;
   for (const FleetInstance &Each : Change.m_Put)
@@ -23,36 +23,39 @@
   return Out;
 }
 
-void KnownList::checkAsTold(const InstanceListChange &Change) const {
+void KnownList::checkApplication(const InstanceListChange &Change) const {
   const auto Got = applyChange(m_Known, Change);
   const InstanceList Wanted = applied(Change);
-  const bool Leads = fingerprintOf(m_Known) == Change.m_Before &&
-                     fingerprintOf(Wanted) == Change.m_After;
+  const bool FingerprintsMatch = fingerprintOf(m_Known) == Change.m_Before &&
+                                 fingerprintOf(Wanted) == Change.m_After;
   require(
-      Got.has_value() == Leads,
-      "a change applies where it leads from the known list, and only there");
-  require(!Got || *Got == Wanted, "a change does what it says, and no more");
+      Got.has_value() == FingerprintsMatch,
+      "a change applies if and only if its fingerprints match the known list "
+      "before and after it");
+  require(!Got || *Got == Wanted, "applying a change gives the expected list");
 }
 
-void KnownList::checkNamedRight(InstanceListChange Change) const {
+void KnownList::checkMatchingFingerprints(InstanceListChange Change) const {
   const InstanceList Wanted = applied(Change);
   Change.m_Before = fingerprintOf(m_Known);
   Change.m_After = fingerprintOf(Wanted);
   require(applyChange(m_Known, Change) == Wanted,
-          "a change that leads from the known list applies");
+          "a change with matching fingerprints applies");
   ++Change.m_Before;
-  require(!applyChange(m_Known, Change), "a change of another list is left");
+  require(!applyChange(m_Known, Change),
+          "a change from another list is rejected");
   --Change.m_Before;
   ++Change.m_After;
-  require(!applyChange(m_Known, Change), "a change to another list is left");
+  require(!applyChange(m_Known, Change),
+          "a change to another list is rejected");
 }
 
-void KnownList::checkLeadsTo(const InstanceList &Other) const {
+void KnownList::checkDifference(const InstanceList &Other) const {
   const InstanceListChange Change = changeBetween(m_Known, Other);
   require(applyChange(m_Known, Change) == Other,
-          "the change between two lists leads from one to the other");
+          "the difference between two lists turns one into the other");
   require((m_Known == Other) == (Change.m_Before == Change.m_After),
-          "lists have the same fingerprint where they are equal");
+          "lists have the same fingerprint if and only if they are equal");
 }
 
 } // namespace deckpitch::fuzz
--- a/support/fuzz/known-list.h
+++ b/support/fuzz/known-list.h
@@ -1,4 +1,4 @@
-// A list of instances that follows the changes it is told.
+// A list of instances, updated by the changes that are received.
 #pragma once
 
 #include "deckpitch/instance-list.h"
@@ -8,13 +8,13 @@
 
 class KnownList {
 public:
-  /// Checks what must hold of a change, whatever it says, and applies it.
-  void hear(const wire::InstancesNews &News);
+  /// Checks the properties that hold for any change, then applies it.
+  void checkAndApply(const wire::InstancesNews &News);
 
 private:
-  void checkAsTold(const InstanceListChange &Change) const;
-  void checkNamedRight(InstanceListChange Change) const;
-  void checkLeadsTo(const InstanceList &Other) const;
+  void checkApplication(const InstanceListChange &Change) const;
+  void checkMatchingFingerprints(InstanceListChange Change) const;
+  void checkDifference(const InstanceList &Other) const;
   InstanceList applied(const InstanceListChange &Change) const;
 
   InstanceList m_Known;
--- a/support/fuzz/link-messages.h
+++ b/support/fuzz/link-messages.h
@@ -1,4 +1,4 @@
-// Inputs that are datagrams, as a process reads them from its link.
+// Decodes an input into the datagrams that a process receives on its link.
 #pragma once
 
 #include "fuzz/input-reader.h"
@@ -9,20 +9,20 @@
 
 namespace deckpitch::fuzz {
 
-/// What a process reads of one datagram.
-inline constexpr std::size_t MostDatagramBytes = std::size_t{8} * 1024;
-/// Of one input: more show nothing new, and take long.
-inline constexpr std::size_t MostDatagrams = 32;
+/// The longest datagram that a process reads.
+inline constexpr std::size_t MaxDatagramBytes = std::size_t{8} * 1024;
+/// Datagrams read of one input; more find nothing new and take long.
+inline constexpr std::size_t MaxDatagrams = 32;
 
-/// The messages of those datagrams that are any.
+/// Returns the messages of those datagrams that parse.
 inline std::vector<wire::LinkMessage> messagesIn(Bytes Input) {
   constexpr std::size_t ByteValues = 256;
   InputReader Reader(Input);
   std::vector<wire::LinkMessage> Out;
-  while (!Reader.atEnd() && Out.size() < MostDatagrams) {
+  while (!Reader.atEnd() && Out.size() < MaxDatagrams) {
     const std::size_t Low = Reader.byte();
     const std::size_t Size = Low + ByteValues * Reader.byte();
-    const std::string Datagram = Reader.text(std::min(Size, MostDatagramBytes));
+    const std::string Datagram = Reader.text(std::min(Size, MaxDatagramBytes));
     wire::LinkMessage Message;
     if (Message.ParseFromString(Datagram))
       Out.push_back(Message);
--- a/support/fuzz/link-target.cc
+++ b/support/fuzz/link-target.cc
@@ -1,5 +1,5 @@
-// The messages between entries and agents: what is read of them is written the
-// same again, and what is late, repeated or of no list changes nothing.
+// Messages between entries and agents: values survive a round trip, and late or
+// repeated messages, or changes to an unknown list, change nothing.
 #include "direct/entry-peers.h"
 #include "direct/state-link.h"
 #include "direct/store-news.h"
@@ -22,20 +22,22 @@
 using direct::NewsReach;
 using wire::LinkMessage;
 
-/// When an input begins; any moment does.
+/// Time of the first message; the value is arbitrary.
 constexpr TimePoint Begin{std::chrono::hours(1)};
-/// Between two messages: some come while the sender counts as live, some after.
+/// Time between two messages: some arrive while their sender counts as live,
+/// some later.
 constexpr Duration Step = std::chrono::milliseconds(400);
 const std::string Sender = "127.0.0.1:9000";
 
-/// Read writes a value from a message, Write the other way round.
+/// Checks that a value read from a message is the same after it was written to
+/// a message and read again.
 template <typename Wire, typename Read, typename Write>
-void requireSameAgain(const Wire &From, Read &&ReadFrom, Write &&WriteTo) {
+void requireRoundTrip(const Wire &From, Read &&ReadFrom, Write &&WriteTo) {
   const auto Once = ReadFrom(From);
   Wire Again;
   WriteTo(Once, Again);
   require(ReadFrom(Again) == Once,
-          From.GetTypeName() + " reads to the same value once written again");
+          From.GetTypeName() + " survives a round trip");
 }
 
 template <typename List> void checkDeclared(const List &Declared) {
@@ -44,30 +46,30 @@
     direct::write(From, Begin, To);
   };
   for (const wire::DeclaredWeightsState &Each : Declared)
-    requireSameAgain(Each, Read, Write);
+    requireRoundTrip(Each, Read, Write);
 }
 
-/// Of a list of messages that need no time.
+/// Checks the round trip of messages that are read without a time.
 template <typename List> void checkEach(const List &Messages) {
   const auto Read = [](const auto &From) { return direct::read(From); };
   const auto Write = [](const auto &From, auto &To) {
     direct::write(From, To);
   };
   for (const auto &Each : Messages)
-    requireSameAgain(Each, Read, Write);
+    requireRoundTrip(Each, Read, Write);
 }
 
 void checkChange(const wire::InstancesNews &From) {
   const InstanceListChange Once = direct::read(From);
   wire::InstancesNews Again;
   direct::write(Once, Again);
-  InstanceListChange Told = Once;
+  InstanceListChange Expected = Once;
   if (Once.m_Put.size() + Once.m_Removed.size() > direct::MostChangesTold) {
-    Told.m_Put.clear();
-    Told.m_Removed.clear();
+    Expected.m_Put.clear();
+    Expected.m_Removed.clear();
   }
-  require(direct::read(Again) == Told,
-          "a change is written whole, or without what it changes");
+  require(direct::read(Again) == Expected,
+          "a change is written completely, or without its instances");
 }
 
 void checkList(const wire::InstancesNews &From) {
@@ -76,18 +78,19 @@
     require(Id == Each.m_Id, "an instance is listed under its own id");
   wire::InstancesNews Again;
   direct::writeWhole(Once, From.after(), Again);
-  require(direct::readWhole(Again) == Once, "a list is written whole");
-  require(Again.after() == From.after(), "a list is written with its name");
+  require(direct::readWhole(Again) == Once, "a list survives a round trip");
+  require(Again.after() == From.after(),
+          "a list is written with its fingerprint");
   for (const wire::ListedInstanceState &Each : From.put())
     checkEach(Each.weights());
 }
 
-/// Of what an entry tells of the store.
-void checkNews(const wire::StoreNews &News, KnownList &Known) {
+/// Checks an entry's update on the store's contents.
+void checkStoreUpdate(const wire::StoreNews &News, KnownList &Known) {
   checkDeclared(News.weights().declared());
   checkChange(News.instances());
   checkList(News.instances());
-  Known.hear(News.instances());
+  Known.checkAndApply(News.instances());
 }
 
 void checkHello(const wire::EntryHello &Hello) {
@@ -95,7 +98,7 @@
   checkEach(Hello.sources());
 }
 
-/// All that can be asked of it without a change.
+/// Returns all observable state of Peers.
 auto stateOf(const EntryPeers &Peers, TimePoint Now) {
   const ReadingTurn Turn = Peers.ownTurn(Now);
   return std::make_tuple(
@@ -108,28 +111,28 @@
 void checkHellos(EntryPeers &Peers, TimePoint Now) {
   Peers.dueHellos(Now);
   require(Peers.dueHellos(Now) == DueHellos(),
-          "no entry gets two hellos at one moment");
+          "no entry gets two hellos at the same time");
 }
 
-/// Hears the message twice.
+/// Delivers the message twice and checks its effects.
 void checkPeers(EntryPeers &Peers, const LinkMessage &Message, TimePoint Now) {
   const EntryAddress Own = Peers.own();
   const auto Before = stateOf(Peers, Now);
   Peers.heard(Message, Sender, Now);
   const auto After = stateOf(Peers, Now);
   require(Message.has_hello() || After == Before,
-          "only a hello changes what is known of entries");
+          "only a hello changes the known entries");
   const bool IsOwn = Message.hello().instance() == Own.m_Id.m_Text;
-  require(!IsOwn || After == Before, "an entry does not hear itself");
+  require(!IsOwn || After == Before, "an entry ignores its own hellos");
   Peers.heard(Message, Sender, Now);
   require(stateOf(Peers, Now) == After, "a repeated hello changes nothing");
-  require(Peers.own() == Own, "an entry's own address stays");
+  require(Peers.own() == Own, "an entry's own address does not change");
   checkHellos(Peers, Now);
 }
 
 void checkOrder(LinkOrder &Order, const LinkMessage &Message) {
   Order.isNewer(Message);
-  require(!Order.isNewer(Message), "the same message is not newer again");
+  require(!Order.isNewer(Message), "a repeated message is not newer");
 }
 
 } // namespace
@@ -142,8 +145,8 @@
   TimePoint Now = Begin;
   for (const LinkMessage &Message : messagesIn(Input)) {
     checkHello(Message.hello());
-    checkNews(Message.hello().known(), Known);
-    checkNews(Message.news(), Known);
+    checkStoreUpdate(Message.hello().known(), Known);
+    checkStoreUpdate(Message.news(), Known);
     checkEach(Message.state().weights());
     checkOrder(Orders[Message.state().address()], Message);
     checkPeers(Peers, Message, Now);
--- a/support/fuzz/link-times-target.cc
+++ b/support/fuzz/link-times-target.cc
@@ -1,5 +1,5 @@
-// Times in messages between entries and agents: whatever they say, reckoning
-// with them is defined.
+// Times in messages between entries and agents: arithmetic on them has no
+// undefined behaviour for any value.
 #include "deckpitch/link-delay.h"
 #include "deckpitch/place-ledger.h"
 #include "deckpitch/shared-reading.h"
@@ -18,51 +18,52 @@
 using std::chrono::microseconds;
 using std::chrono::milliseconds;
 
-/// When an input begins; any moment does.
+/// Time of the first message; the value is arbitrary.
 constexpr TimePoint Begin{std::chrono::hours(1)};
-/// Between two messages.
+/// Time between two messages.
 constexpr Duration Step = milliseconds(400);
 
-/// As an entry takes a message of another.
+/// Computes the age of an update as an entry does that receives it.
 void checkAge(LinkDelay &Delay, const wire::LinkMessage &Message,
               TimePoint Now) {
-  const Duration Late =
+  const Duration ExtraDelay =
       Delay.note(Message.incarnation(), microseconds(Message.sent_us()), Now);
-  require(Late >= Duration::zero(), "nothing comes before the quickest");
+  require(ExtraDelay >= Duration::zero(),
+          "the extra delay over the fastest message is not negative");
   const wire::WeightsNews &News = Message.news().weights();
   const auto AsOf = asOfTold(
-      {milliseconds(News.age_ms()), Late, true, News.is_relayed()}, Now);
-  require(!AsOf || *AsOf <= Now, "nothing is told from the future");
+      {milliseconds(News.age_ms()), ExtraDelay, true, News.is_relayed()}, Now);
+  require(!AsOf || *AsOf <= Now, "no reported reading is in the future");
 }
 
-void checkQuestion(PlaceLedger &Places, const wire::PlaceQuery &Asked,
-                   TimePoint Now) {
-  const PlaceQuery Query = direct::read(Asked);
+void checkSlotQuery(PlaceLedger &Ledger, const wire::PlaceQuery &Received,
+                    TimePoint Now) {
+  const PlaceQuery Query = direct::read(Received);
   require(std::min({Query.m_BetweenEnds, Query.m_ReadTime, Query.m_WriteTime,
                     Query.m_FirstWithin}) >= Duration::zero(),
-          "no time that is asked for is negative");
+          "no time in a slot query is negative");
   wire::PlaceQuery Again;
   direct::write(Query, Again);
-  // What is no number is equal to nothing.
+  // NaN compares unequal to itself.
   require(std::isnan(Query.m_Reserve) || direct::read(Again) == Query,
-          "a question reads to the same value once written again");
-  const std::uint32_t Before = Places.held();
-  const bool IsGranted = Places.grant(Query, Now);
-  require(Places.held() == Before + (IsGranted ? 1 : 0),
-          "what is granted is counted, and nothing else");
+          "a slot query survives a round trip");
+  const std::uint32_t Before = Ledger.held();
+  const bool IsGranted = Ledger.grant(Query, Now);
+  require(Ledger.held() == Before + (IsGranted ? 1 : 0),
+          "exactly the granted slots are counted as held");
 }
 
 } // namespace
 
 void fuzzLinkTimes(Bytes Input) {
   LinkDelay Delay;
-  PlaceLedger Places;
+  PlaceLedger Ledger;
   TimePoint Now = Begin;
   for (const wire::LinkMessage &Message : messagesIn(Input)) {
     checkAge(Delay, Message, Now);
     if (Message.has_state())
-      Places.reported(Message.state().running(), Now);
-    checkQuestion(Places, Message.place_query(), Now);
+      Ledger.reported(Message.state().running(), Now);
+    checkSlotQuery(Ledger, Message.place_query(), Now);
     Now += Step;
   }
 }
--- a/support/fuzz/main.cc
+++ b/support/fuzz/main.cc
@@ -1,4 +1,4 @@
-// A libFuzzer program for all targets:  deckpitch-fuzz --target=link CORPUS
+// libFuzzer driver for all targets:  deckpitch-fuzz --target=link CORPUS
 #include "fuzz/targets.h"
 #include "net/log.h"
 
@@ -13,16 +13,16 @@
 using deckpitch::fuzz::Target;
 using deckpitch::fuzz::Targets;
 
-const Target *Chosen = nullptr;
+const Target *SelectedTarget = nullptr;
 
-/// The fuzzer leaves flags with two dashes to the program.
-void chooseBy(std::string_view Argument) {
+/// libFuzzer ignores flags with two dashes, so the program can use them.
+void selectTarget(std::string_view Argument) {
   constexpr std::string_view Flag = "--target=";
   if (!Argument.starts_with(Flag))
     return;
   for (const Target &Each : Targets)
     if (Each.m_Name == Argument.substr(Flag.size()))
-      Chosen = &Each;
+      SelectedTarget = &Each;
 }
 
 void printTargets() {
@@ -35,12 +35,12 @@
 
 extern "C" int LLVMFuzzerInitialize(int *Count, char ***Arguments) {
   for (int I = 1; I < *Count; ++I)
-    chooseBy((*Arguments)[I]);
-  if (!Chosen) {
+    selectTarget((*Arguments)[I]);
+  if (!SelectedTarget) {
     printTargets();
     std::exit(EXIT_FAILURE);
   }
-  // It writes a line for each text that is none.
+  // protobuf logs a line for each string that is not valid UTF-8.
   google::protobuf::SetLogHandler(nullptr);
   deckpitch::net::setUpLog("fuzz", deckpitch::Severity::Error);
   return 0;
@@ -48,6 +48,6 @@
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t *Data,
                                       std::size_t Size) {
-  Chosen->m_Run({Data, Size});
+  SelectedTarget->m_Run({Data, Size});
   return 0;
 }
--- a/support/fuzz/mutations.h
+++ b/support/fuzz/mutations.h
@@ -1,4 +1,4 @@
-// Simple changes of an input, the same for the same seed on every machine.
+// Simple mutations of an input, reproducible from the seed on every platform.
 #pragma once
 
 #include "fuzz/targets.h"
@@ -18,22 +18,24 @@
 public:
   explicit Mutations(std::uint32_t Seed) : m_Random(Seed) {}
 
-  /// With some changes; the other input's bytes may come in.
-  Input of(Input From, const Input &Other) {
-    constexpr std::size_t MostChanges = 4;
-    const std::size_t Changes = 1 + below(MostChanges);
+  /// Returns From with one to MaxChanges random changes, some of which may
+  /// insert bytes of Other.
+  Input mutate(Input From, const Input &Other) {
+    constexpr std::size_t MaxChanges = 4;
+    const std::size_t Changes = 1 + below(MaxChanges);
     for (std::size_t I = 0; I < Changes; ++I)
       change(From, Other);
     return From;
   }
 
 private:
-  /// The standard's distributions differ between libraries.
+  /// Not a distribution of the standard library: their results differ between
+  /// implementations.
   std::size_t below(std::size_t End) { return End == 0 ? 0 : m_Random() % End; }
 
   void change(Input &Of, const Input &Other) {
-    constexpr std::size_t Ways = 6;
-    switch (below(Ways)) {
+    constexpr std::size_t Kinds = 6;
+    switch (below(Kinds)) {
     case 0:
       return flipBit(Of);
     case 1:
@@ -41,7 +43,7 @@
     case 2:
       return insertByte(Of);
     case 3:
-      return cutOut(Of);
+      return eraseRange(Of);
     case 4:
       return insertPartOf(Input(Of), Of);
     default:
@@ -56,26 +58,27 @@
           static_cast<std::uint8_t>(1 << below(BitsPerByte));
   }
 
-  /// Bytes at the ends of ranges, and those that JSON and texts are made of.
-  std::uint8_t someByte() {
-    constexpr std::array<std::uint8_t, 16> Telling{
+  /// Returns a boundary value or a character with a meaning in JSON or text.
+  std::uint8_t randomByte() {
+    constexpr std::array<std::uint8_t, 16> InterestingBytes{
         0,   1,   0x7f, 0x80, 0xff, '"', '\\', '{',
         '}', '[', ']',  ',',  '-',  '9', '\n', '~'};
-    return Telling[below(Telling.size())];
+    return InterestingBytes[below(InterestingBytes.size())];
   }
 
   void setByte(Input &Of) {
     if (!Of.empty())
-      Of[below(Of.size())] = someByte();
+      Of[below(Of.size())] = randomByte();
   }
 
   void insertByte(Input &Of) {
-    // One after the other: compilers differ in the order of arguments.
+    // Drawn in separate statements: the order in which arguments are evaluated
+    // is unspecified and would make results differ between compilers.
     const std::size_t Index = below(Of.size());
-    Of.insert(at(Of, Index), someByte());
+    Of.insert(at(Of, Index), randomByte());
   }
 
-  void cutOut(Input &Of) {
+  void eraseRange(Input &Of) {
     const std::size_t From = below(Of.size());
     const std::size_t Size = below(Of.size() - From + 1);
     Of.erase(at(Of, From), at(Of, From + Size));
--- a/support/fuzz/peak-memory.h
+++ b/support/fuzz/peak-memory.h
@@ -1,4 +1,4 @@
-// How much more memory than ever before a piece of work took.
+// Measures by how much a piece of work raises the process's peak memory.
 #pragma once
 
 #include <sys/resource.h>
@@ -7,7 +7,7 @@
 
 namespace deckpitch::fuzz {
 
-/// The most that this process has held at any moment.
+/// Returns the maximum resident set size of this process so far, in bytes.
 inline std::size_t peakMemory() {
   constexpr std::size_t BytesPerUnit = 1'024;
   rusage Used{};
@@ -15,8 +15,9 @@
   return static_cast<std::size_t>(Used.ru_maxrss) * BytesPerUnit;
 }
 
-/// Bytes by which the work raised it: no more than the work held itself.
-template <typename Work> std::size_t peakRaisedBy(Work &&Run) {
+/// Returns by how many bytes Run raised the peak. It is a lower bound of what
+/// Run held: earlier work may have reached a higher peak.
+template <typename Work> std::size_t peakMemoryIncrease(Work &&Run) {
   const std::size_t Before = peakMemory();
   Run();
   return peakMemory() - Before;
--- a/support/fuzz/relay-target.cc
+++ b/support/fuzz/relay-target.cc
@@ -1,5 +1,5 @@
-// Texts that one process passes on to another, packed: whole or refused, and
-// small in memory.
+// Compressed texts that one process relays to another: read completely or
+// rejected, within bounded memory.
 #include "direct/store-news.h"
 #include "direct/store-relay.h"
 #include "fuzz/check.h"
@@ -20,12 +20,13 @@
 using direct::HeldDeclaration;
 using direct::HeldInstances;
 
-/// The relay's own limit of a text.
-constexpr std::size_t MostTextBytes = std::size_t{4} * 1024 * 1024;
-/// Memory for each byte of a body and of the longest text: the text itself,
-/// twice while it grows; a message of short fields, and values of as many.
+/// The relay's limit for the size of a text.
+constexpr std::size_t MaxTextBytes = std::size_t{4} * 1024 * 1024;
+/// Bound of the memory for each byte of a body and of the longest text: the
+/// text itself, twice while its buffer grows; a message of short fields, and
+/// the values read from as many fields.
 constexpr std::size_t MemoryPerByte = 16;
-constexpr TimePoint Asked{std::chrono::hours(1)};
+constexpr TimePoint AsOf{std::chrono::hours(1)};
 constexpr Revision SomeRevision{7};
 
 InstanceList knownList() {
@@ -35,24 +36,25 @@
   return {{One.m_Id, One}};
 }
 
-void requireRefusal(const Error &Why) {
-  require(Why.m_Code == ErrorCode::InvalidInput && !Why.m_Message.empty(),
-          "a body that cannot be read is refused as such");
+void requireInvalidInput(const Error &Reason) {
+  require(Reason.m_Code == ErrorCode::InvalidInput && !Reason.m_Message.empty(),
+          "an unreadable body is rejected as invalid input, with a message");
 }
 
 std::size_t memoryFor(const std::string &Body) {
-  return MemoryPerByte * (MostTextBytes + Body.size());
+  return MemoryPerByte * (MaxTextBytes + Body.size());
 }
 
 template <typename Parse>
 auto parseWithinBound(const std::string &Body, Parse &&Run) {
   std::optional<decltype(Run())> Parsed;
-  const std::size_t Raised = peakRaisedBy([&] { Parsed.emplace(Run()); });
+  const std::size_t Increase =
+      peakMemoryIncrease([&] { Parsed.emplace(Run()); });
   auto Got = std::move(*Parsed);
-  require(Raised <= memoryFor(Body),
-          "memory stays within a bound of the body and the limit");
+  require(Increase <= memoryFor(Body),
+          "memory stays within the bound for the body and the size limit");
   if (!Got)
-    requireRefusal(Got.error());
+    requireInvalidInput(Got.error());
   return Got;
 }
 
@@ -63,17 +65,17 @@
 Outcome<HeldInstances> instancesIn(const std::string &Body) {
   const InstanceList Known = knownList();
   return parseWithinBound(
-      Body, [&] { return direct::parseRelayedInstances(Body, Known, Asked); });
+      Body, [&] { return direct::parseRelayedInstances(Body, Known, AsOf); });
 }
 
-/// Whatever is taken can be passed on, and comes as it was.
+/// Checks that whatever is accepted can be relayed again unchanged.
 void checkBody(const std::string &Body) {
   const auto Declaration = declarationIn(Body);
   if (Declaration) {
-    require(Declaration->m_Object.m_Json.size() <= MostTextBytes,
+    require(Declaration->m_Object.m_Json.size() <= MaxTextBytes,
             "no text is longer than the limit");
     const auto Again = declarationIn(direct::formatRelayed(*Declaration));
-    require(Again && *Again == *Declaration, "a text passes on as it came");
+    require(Again && *Again == *Declaration, "a text is relayed as received");
   }
   const auto Instances = instancesIn(Body);
   if (!Instances)
@@ -81,67 +83,70 @@
   const std::uint64_t Fingerprint = fingerprintOf(Instances->m_List);
   const std::string Packed =
       direct::packInstances(Instances->m_List, Fingerprint);
-  const auto Again = instancesIn(
-      direct::formatRelayed(*Instances, Fingerprint, Packed, Asked));
-  require(Again && *Again == *Instances, "a list passes on as it came");
+  const auto Again =
+      instancesIn(direct::formatRelayed(*Instances, Fingerprint, Packed, AsOf));
+  require(Again && *Again == *Instances, "a list is relayed as received");
 }
 
-/// A text of any bytes.
+/// Checks the round trip of a text with arbitrary bytes.
 void checkText(const std::string &Text) {
   HeldDeclaration Held;
   Held.m_Version = 1;
   Held.m_Object = {"", "a", SomeRevision, Text};
   const auto Got = declarationIn(direct::formatRelayed(Held));
-  const bool Fits = Text.size() <= MostTextBytes;
-  require(Got.has_value() == Fits, "texts up to the limit are taken");
-  require(!Got || *Got == Held, "a text comes as it was");
+  const bool Fits = Text.size() <= MaxTextBytes;
+  require(Got.has_value() == Fits,
+          "exactly the texts up to the limit are accepted");
+  require(!Got || *Got == Held, "a text arrives as sent");
 }
 
-/// A list's message of any bytes, under the fingerprint that it should have.
-void checkListed(const std::string &Text) {
+/// Checks that a list's message of arbitrary bytes is accepted under its own
+/// fingerprint, if it parses, and rejected under another.
+void checkList(const std::string &Text) {
   wire::InstancesNews All;
   const bool IsMessage = All.ParseFromString(Text);
   const InstanceList Listed = direct::readWhole(All);
-  HeldInstances Held{Listed, SomeRevision, Asked, std::nullopt};
+  HeldInstances Held{Listed, SomeRevision, AsOf, std::nullopt};
   const std::string Packed = net::deflate(Text);
   const std::uint64_t Fingerprint = fingerprintOf(Listed);
   const auto Got =
-      instancesIn(direct::formatRelayed(Held, Fingerprint, Packed, Asked));
-  require(Got.has_value() == IsMessage, "a list that can be read is taken");
-  require(!Got || *Got == Held, "a list comes as it was");
+      instancesIn(direct::formatRelayed(Held, Fingerprint, Packed, AsOf));
+  require(Got.has_value() == IsMessage,
+          "exactly the lists that parse are accepted");
+  require(!Got || *Got == Held, "a list arrives as sent");
   const auto Other =
-      instancesIn(direct::formatRelayed(Held, Fingerprint + 1, Packed, Asked));
-  require(!Other, "a list of another fingerprint is refused");
+      instancesIn(direct::formatRelayed(Held, Fingerprint + 1, Packed, AsOf));
+  require(!Other, "a list with another fingerprint is rejected");
 }
 
-/// A part of a packed text is none.
-void checkCutOff(const std::string &Text) {
+/// Checks that a truncated compressed text is rejected.
+void checkTruncated(const std::string &Text) {
   if (Text.empty())
     return;
   const std::string Whole = net::deflate(Text);
   const std::size_t Size = static_cast<unsigned char>(Text.front());
   const std::string Part = Whole.substr(0, Size % Whole.size());
-  const auto Got = net::inflate(Part, MostTextBytes);
-  require(!Got, "a packed text that is cut off is refused");
+  const auto Got = net::inflate(Part, MaxTextBytes);
+  require(!Got, "a truncated compressed text is rejected");
 }
 
-enum Packing { AsBody, AsText, AsList, AsPart, Packings };
+enum Packing { AsBody, AsText, AsList, AsTruncated, PackingCount };
 
 } // namespace
 
 void fuzzRelay(Bytes Input) {
   InputReader Reader(Input);
-  const int How = Reader.byte() % Packings;
-  const std::string Rest = Reader.rest();
-  switch (How) {
+  const int Kind = Reader.byte() % PackingCount;
+  const std::string Content = Reader.rest();
+  switch (Kind) {
   case AsBody:
-    return checkBody(Rest);
+    return checkBody(Content);
   case AsText:
-    return checkText(Rest);
+    return checkText(Content);
   case AsList:
-    return checkListed(Rest);
+    return checkList(Content);
   default:
-    return checkCutOff(Rest);
+    return checkTruncated(Content);
   }
 }
 
@@ -152,7 +157,7 @@
   const std::size_t Copies = std::size_t{1} << Reader.byte() % Logarithms;
   const std::string Part = Reader.rest();
   std::string Whole;
-  for (std::size_t I = 0; I < Copies && Whole.size() <= MostTextBytes; ++I)
+  for (std::size_t I = 0; I < Copies && Whole.size() <= MaxTextBytes; ++I)
     Whole += Part;
   wire::InstancesText List;
   List.set_revision(SomeRevision.m_Value);
--- a/support/fuzz/settings-target.cc
+++ b/support/fuzz/settings-target.cc
@@ -1,4 +1,4 @@
-// Settings and manifests: taken whole or refused with a reason.
+// Settings and manifests: accepted completely or rejected with a reason.
 #include "deckpitch/direct-settings.h"
 #include "deckpitch/manifest.h"
 #include "deckpitch/settings.h"
@@ -10,17 +10,19 @@
 
 namespace {
 
-template <typename Parse> auto parseOrSayWhy(Parse &&Run) {
+template <typename Parse> auto parseOrRequireReason(Parse &&Run) {
   auto Got = outcomeOf(Run);
-  require(Got || !Got.error().m_Message.empty(), "a refusal says why");
+  require(Got || !Got.error().m_Message.empty(), "a rejection has a message");
   return Got;
 }
 
 void checkDirect(const std::string &Text) {
-  const auto Got = parseOrSayWhy([&] { return parseDirectSettings(Text); });
+  const auto Got =
+      parseOrRequireReason([&] { return parseDirectSettings(Text); });
   if (!Got)
     return;
-  require(areDirectSettings(Text), "settings that are taken are of their kind");
+  require(areDirectSettings(Text),
+          "accepted settings are recognised as direct settings");
   require(!Got->m_Instance.empty() && !Got->m_Store.empty() &&
               !Got->m_Listen.m_Link.empty(),
           "settings name the process, its link and the store");
@@ -30,8 +32,8 @@
           "an entry listens for callers");
   require(Got->m_Bounds.m_Retries.m_Share >= 0 &&
               Got->m_Bounds.m_Retries.m_Share <= 1,
-          "a share is one");
-  require(Got->m_LinkMbps >= 0, "a rate is none below zero");
+          "the retry share is between 0 and 1");
+  require(Got->m_LinkMbps >= 0, "the rate of the link is not negative");
 }
 
 void checkLengths(const Manifest &Of) {
@@ -40,7 +42,8 @@
     require(Of.chunkLength(I) > 0, "no chunk is empty");
     Bytes += Of.chunkLength(I);
   }
-  require(Bytes == Of.m_Bytes, "the chunks make the content");
+  require(Bytes == Of.m_Bytes,
+          "the lengths of the chunks add up to the content");
 }
 
 } // namespace
@@ -48,21 +51,21 @@
 void fuzzSettings(Bytes Input) {
   const std::string Text = InputReader(Input).rest();
   checkDirect(Text);
-  parseOrSayWhy([&] { return parseSettings(Text); });
+  parseOrRequireReason([&] { return parseSettings(Text); });
 }
 
 void fuzzManifest(Bytes Input) {
   const std::string Text = InputReader(Input).rest();
-  const auto Got = parseOrSayWhy([&] { return parseManifest(Text); });
+  const auto Got = parseOrRequireReason([&] { return parseManifest(Text); });
   if (!Got)
     return;
   checkLengths(*Got);
   require(wholeDigest(Got->m_Chunks) == Got->m_Whole,
-          "the whole digest is that of the chunks");
+          "the overall digest is computed from those of the chunks");
   const std::string Written = formatManifest(*Got);
-  const auto Again = parseOrSayWhy([&] { return parseManifest(Written); });
-  require(Again && *Again == *Got,
-          "a manifest reads to the same value once written again");
+  const auto Again =
+      parseOrRequireReason([&] { return parseManifest(Written); });
+  require(Again && *Again == *Got, "a manifest survives a round trip");
 }
 
 } // namespace deckpitch::fuzz
--- a/support/fuzz/targets.h
+++ b/support/fuzz/targets.h
@@ -1,6 +1,5 @@
-// What is done with bytes that come from outside, one function for each kind of
-// input: for the fuzzer and for tests. Each throws where something does not
-// hold that must.
+// Fuzz targets, one for each kind of untrusted input, run by the fuzzer and by
+// tests. Each throws when a property that must hold is violated.
 #pragma once
 
 #include <array>
@@ -13,34 +12,35 @@
 
 using Bytes = std::span<const std::uint8_t>;
 
-/// Datagrams, each after its length in two bytes, the low one first.
+/// Input: datagrams, each preceded by its length in two bytes, little-endian.
 void fuzzLink(Bytes Input);
-/// The same; what is done with the times in them.
+/// Same input as fuzzLink; checks the arithmetic on the times in the messages.
 void fuzzLinkTimes(Bytes Input);
-/// A way of packing in one byte, then what is packed.
+/// Input: one byte that selects the kind of packing, then the content.
 void fuzzRelay(Bytes Input);
-/// Whether a list, how often (a power of two), and what is repeated so often.
+/// Input: a byte whether the content is a list, a byte with the binary
+/// logarithm of the number of copies, then the content to repeat.
 void fuzzRelaySize(Bytes Input);
-/// A JSON value that stands beside good ones in a declaration.
+/// Input: a JSON value, inserted beside valid ones in a declaration.
 void fuzzDeclaration(Bytes Input);
-/// A declaration, whose times and engines are used.
+/// Input: a declaration; its times and engines are used.
 void fuzzDeclaredTerms(Bytes Input);
-/// Lines: the name of an instance, and what the store holds of it.
+/// Input: pairs of lines, an instance's name and its record in the store.
 void fuzzInstances(Bytes Input);
-/// One byte that says how the rest, an event stream, is cut.
+/// Input: one byte that seeds the split of the remainder, an event stream.
 void fuzzEvents(Bytes Input);
-/// The text of settings.
+/// Input: the text of settings.
 void fuzzSettings(Bytes Input);
-/// The text of a manifest.
+/// Input: the text of a manifest.
 void fuzzManifest(Bytes Input);
-/// The header of a bulk frame with its length, and what follows it.
+/// Input: the header of a bulk frame with its length, and what follows it.
 void fuzzBulk(Bytes Input);
 
 struct Target {
-  std::string_view m_Name; ///< of its folder of the corpus too
+  std::string_view m_Name; ///< also the name of its corpus folder
   void (*m_Run)(Bytes);
-  /// That a test makes of each file: so many that it takes some seconds, also
-  /// under sanitizers.
+  /// Mutations that a test makes of each file; chosen so that it takes only
+  /// some seconds, also under sanitizers.
   std::size_t m_Mutations;
 };
 
--- a/test/fuzz-corpus-test.cc
+++ b/test/fuzz-corpus-test.cc
@@ -1,5 +1,6 @@
-// What must hold of input from outside, over the written inputs and simple
-// mutations of them. scripts/fuzz.sh looks for more of them.
+// Runs the fuzz targets over the corpus and simple mutations of it, and over
+// the inputs that once violated a property. scripts/fuzz.sh searches for new
+// ones.
 #include "fuzz/mutations.h"
 #include "fuzz/targets.h"
 
@@ -27,14 +28,15 @@
 
 namespace {
 
-using Corpus = std::map<std::string, fuzz::Input>; ///< by name of the file
+using Corpus = std::map<std::string, fuzz::Input>; ///< by file name
 
 fuzz::Input readFile(const fs::path &Path) {
   std::ifstream File(Path, std::ios::binary);
   return {std::istreambuf_iterator<char>(File), {}};
 }
 
-/// Folder: "corpus", or "finds" for what broke a property once.
+/// Reads a target's files in the folder "corpus", or "finds" for the inputs
+/// that once violated a property.
 Corpus readInputs(const std::string &Folder, std::string_view Target) {
   const fs::path Path =
       fs::path(DECKPITCH_SOURCE_DIR) / "support/fuzz" / Folder / Target;
@@ -55,21 +57,21 @@
   return Out;
 }
 
-/// What does not hold; empty if all does.
-std::string faultOf(const fuzz::Target &Target, const fuzz::Input &Input) {
-  // It writes a line for each text that is none.
+/// Returns the property that is violated, or an empty string.
+std::string violationOf(const fuzz::Target &Target, const fuzz::Input &Input) {
+  // protobuf logs a line for each string that is not valid UTF-8.
   const google::protobuf::LogSilencer Quiet;
   try {
     Target.m_Run(Input);
     return "";
-  } catch (const std::exception &Fault) {
-    return Fault.what();
+  } catch (const std::exception &Violation) {
+    return Violation.what();
   }
 }
 
-void expectHolds(const fuzz::Target &Target, const std::string &Name,
-                 const fuzz::Input &Input) {
-  EXPECT_EQ(faultOf(Target, Input), "")
+void expectPropertyHolds(const fuzz::Target &Target, const std::string &Name,
+                         const fuzz::Input &Input) {
+  EXPECT_EQ(violationOf(Target, Input), "")
       << Target.m_Name << " " << Name << ": " << toHex(Input);
 }
 
@@ -79,10 +81,10 @@
   const Corpus Files = readInputs("corpus", GetParam().m_Name);
   ASSERT_FALSE(Files.empty());
   for (const auto &[Name, Input] : Files)
-    expectHolds(GetParam(), Name, Input);
+    expectPropertyHolds(GetParam(), Name, Input);
 }
 
-void expectMutationsHold(const fuzz::Target &Target) {
+void expectPropertiesHoldForMutations(const fuzz::Target &Target) {
   constexpr std::uint32_t Seed = 1;
   const Corpus Files = readInputs("corpus", Target.m_Name);
   ASSERT_FALSE(Files.empty());
@@ -90,13 +92,15 @@
   const fuzz::Input *Other = &Files.rbegin()->second;
   for (const auto &[Name, Input] : Files) {
     for (std::size_t I = 0; I < Target.m_Mutations; ++I)
-      expectHolds(Target, Name + " mutated", Mutations.of(Input, *Other));
+      expectPropertyHolds(Target, Name + " mutated",
+                          Mutations.mutate(Input, *Other));
     Other = &Input;
   }
 }
 
-/// Simple mutations of its inputs meet an input that breaks a property today:
-/// they are tried beside the finds, by one test, until that is mended.
+/// Returns whether mutations of the target's corpus violate a property in the
+/// current code. Until that is fixed, FuzzFinds tries them together with the
+/// finds.
 bool hasOpenFind(const fuzz::Target &Target) {
   return Target.m_Name == std::string_view("instances");
 }
@@ -110,7 +114,7 @@
 
 class FuzzMutations : public testing::TestWithParam<fuzz::Target> {};
 
-TEST_P(FuzzMutations, Hold) { expectMutationsHold(GetParam()); }
+TEST_P(FuzzMutations, Hold) { expectPropertiesHoldForMutations(GetParam()); }
 
 std::string nameOf(const testing::TestParamInfo<fuzz::Target> &Info) {
   std::string Out(Info.param.m_Name);
@@ -123,16 +127,16 @@
 INSTANTIATE_TEST_SUITE_P(All, FuzzMutations,
                          testing::ValuesIn(targetsWithoutOpenFind()), nameOf);
 
-/// Inputs that broke a property once.
+/// Guards against the return of faults whose inputs once violated a property.
 TEST(FuzzFinds, HoldNow) {
   std::size_t Inputs = 0;
   for (const fuzz::Target &Target : fuzz::Targets) {
     for (const auto &[Name, Input] : readInputs("finds", Target.m_Name)) {
-      expectHolds(Target, Name, Input);
+      expectPropertyHolds(Target, Name, Input);
       ++Inputs;
     }
     if (hasOpenFind(Target))
-      expectMutationsHold(Target);
+      expectPropertiesHoldForMutations(Target);
   }
   EXPECT_GT(Inputs, 0U);
 }
