--- a/support/benchmarks/http-stream-benchmark.cc
+++ b/support/benchmarks/http-stream-benchmark.cc
@@ -1,4 +1,4 @@
-// What one streamed piece costs a client and a server on loopback together.
+// Cost of one streamed piece, for client and server together, over loopback.
 #include "net/http.h"
 
 #include <benchmark/benchmark.h>
@@ -47,7 +47,8 @@
     Io.restart();
   }
   if (Bytes != State.iterations() * Pieces * PieceBytes)
-    State.SkipWithError("bytes are missing");
+    State.SkipWithError(
+        "the client did not receive exactly the bytes that were sent");
   State.SetItemsProcessed(State.iterations() * Pieces);
   Threads.stop();
 }
--- a/support/benchmarks/metrics-benchmark.cc
+++ b/support/benchmarks/metrics-benchmark.cc
@@ -1,4 +1,4 @@
-// What a counter, a gauge and a latency histogram cost the request path.
+// Cost of metrics on the request path: counters, latency histograms, lookups.
 #include "net/metrics.h"
 
 #include <benchmark/benchmark.h>
--- a/support/benchmarks/snapshot-benchmark.cc
+++ b/support/benchmarks/snapshot-benchmark.cc
@@ -1,4 +1,4 @@
-// Ways to hand readers the newest snapshot while a writer publishes.
+// Compares ways to give readers the latest snapshot while a writer publishes.
 #include "deckpitch/snapshot.h"
 
 #include <benchmark/benchmark.h>
@@ -19,7 +19,7 @@
   std::uint64_t m_Copy = 0;
 };
 
-/// SnapshotCell with a reader for each thread, as the request path does.
+/// SnapshotCell with one reader per thread, as on the request path.
 struct CachedReader {
   void publish(std::uint64_t Version) {
     m_Cell.publish(std::make_shared<const Routes>(Routes{Version, Version}));
@@ -65,17 +65,18 @@
   std::shared_ptr<const Routes> m_Pointer = std::make_shared<const Routes>();
 };
 
-constexpr auto PublishEvery = std::chrono::milliseconds(1);
+constexpr auto PublishInterval = std::chrono::milliseconds(1);
 
-/// Readers on all benchmark threads, one writer beside them.
-template <typename Way> void readWhilePublishing(benchmark::State &State) {
-  static Way Shared;
+/// Reads on all benchmark threads while one more thread writes.
+template <typename Implementation>
+void readWhilePublishing(benchmark::State &State) {
+  static Implementation Shared;
   std::jthread Writer;
   if (State.thread_index() == 0)
     Writer = std::jthread([](const std::stop_token &Stop) {
       for (std::uint64_t Version = 1; !Stop.stop_requested(); ++Version) {
         Shared.publish(Version);
-        std::this_thread::sleep_for(PublishEvery);
+        std::this_thread::sleep_for(PublishInterval);
       }
     });
   for (auto _ : State)
--- a/support/benchmarks/swarm-benchmark.cc
+++ b/support/benchmarks/swarm-benchmark.cc
@@ -1,4 +1,4 @@
-// Cost of the swarm's decisions, and whole copies in virtual time.
+// Cost of the swarm's decisions, and complete copies in virtual time.
 #include "deckpitch/assignment.h"
 #include "simulation/swarm-simulation.h"
 
@@ -16,7 +16,7 @@
   return Out;
 }
 
-/// One chunk's decisions at one agent: granted, requested, arrived, staged.
+/// Decisions of one agent on one chunk: grant, request, arrival, staging.
 void decisionsOfOneChunk(benchmark::State &State) {
   const auto Chunks = static_cast<std::uint32_t>(State.range(1));
   const std::vector<InstanceId> Pool = instances(State.range(0));
@@ -25,37 +25,39 @@
   ChunkSet All(Chunks);
   for (std::uint32_t I = 0; I < Chunks; ++I)
     All.insert(I);
-  std::uint32_t Left = 0;
-  std::unique_ptr<Swarm> Under;
+  std::uint32_t ChunksLeft = 0;
+  std::unique_ptr<Swarm> TestedSwarm;
   for (auto Each : State) {
-    if (Left == 0) {
+    if (ChunksLeft == 0) {
       State.PauseTiming();
-      Under = std::make_unique<Swarm>(Pool.front(), DataCentreId{"a"}, Chunks,
-                                      SwarmOptions{}, 1);
+      TestedSwarm = std::make_unique<Swarm>(Pool.front(), DataCentreId{"a"},
+                                            Chunks, SwarmOptions{}, 1);
       for (PeerNumber I = 0; I < Peers; ++I)
-        Under->onPeerJoined(I, InstanceId{"peer" + std::to_string(I)},
-                            DataCentreId{"a"}, All, All, Now);
-      Left = Chunks;
+        TestedSwarm->onPeerJoined(I, InstanceId{"peer" + std::to_string(I)},
+                                  DataCentreId{"a"}, All, All, Now);
+      ChunksLeft = Chunks;
       State.ResumeTiming();
     }
-    const PeerNumber From = Left-- % Peers;
-    const SwarmActions Asked = Under->onGrant(From, Now);
-    const std::uint32_t Chunk = std::get<SendRequest>(Asked.front()).m_Chunk;
-    Under->onArrived(From, Chunk, true, Now);
-    benchmark::DoNotOptimize(Under->onStaged(Chunk, true, Now));
+    const PeerNumber From = ChunksLeft-- % Peers;
+    const SwarmActions Actions = TestedSwarm->onGrant(From, Now);
+    const std::uint32_t Chunk = std::get<SendRequest>(Actions.front()).m_Chunk;
+    TestedSwarm->onArrived(From, Chunk, true, Now);
+    benchmark::DoNotOptimize(TestedSwarm->onStaged(Chunk, true, Now));
   }
 }
 BENCHMARK(decisionsOfOneChunk)
     ->ArgNames({"pool", "chunks"})
     ->ArgsProduct({{12, 100, 910}, {256, 2048}});
 
-/// The order in which instances read a copy's chunks; once a pool's change.
+/// Computes the order in which instances read a copy's chunks; runs once for
+/// each change of a pool.
 void rendezvousOrder(benchmark::State &State) {
   const std::vector<InstanceId> Pool = instances(State.range(0));
-  Swarm Under(Pool.front(), DataCentreId{"a"},
-              static_cast<std::uint32_t>(State.range(1)), SwarmOptions{}, 1);
+  Swarm TestedSwarm(Pool.front(), DataCentreId{"a"},
+                    static_cast<std::uint32_t>(State.range(1)), SwarmOptions{},
+                    1);
   for (auto Each : State)
-    Under.setInstances(Pool);
+    TestedSwarm.setInstances(Pool);
 }
 BENCHMARK(rendezvousOrder)
     ->ArgNames({"pool", "chunks"})
@@ -86,7 +88,8 @@
     ->Arg(910)
     ->Unit(benchmark::kMicrosecond);
 
-/// Ratio to the bound (M + floor(log2 N)) in virtual time.
+/// Simulates a complete copy in virtual time; reports the ratio of its time to
+/// the bound M + floor(log2 N) for M chunks and N agents.
 void wholeCopy(benchmark::State &State) {
   SimulationOptions Options;
   Options.m_Agents = static_cast<std::uint32_t>(State.range(0));
--- a/support/benchmarks/token-stream-benchmark.cc
+++ b/support/benchmarks/token-stream-benchmark.cc
@@ -1,4 +1,4 @@
-// What checking one streamed token costs.
+// Cost of checking one streamed token.
 #include "deckpitch/token-stream.h"
 
 #include <benchmark/benchmark.h>
@@ -31,7 +31,7 @@
                                 .m_Digest = Digest});
     for (const std::string &Each : Events)
       if (Checker.feed(Each).m_Fault != StreamFault::None)
-        State.SkipWithError("a whole event was refused");
+        State.SkipWithError("the checker rejected a complete event");
   }
   State.SetItemsProcessed(State.iterations() * Tokens);
 }
--- a/support/measure/measure-load-age.cc
+++ b/support/measure/measure-load-age.cc
@@ -1,5 +1,6 @@
-// What it costs that entries know the load of instances late: requests of many
-// entries, in virtual time, with the agents' own answers.
+// Measures what it costs that entries know the load of instances with a delay.
+// Simulates the requests of many entries in virtual time, with the slot ledgers
+// that agents use to grant or refuse them.
 #include "deckpitch/engine-model.h"
 #include "deckpitch/instance-table.h"
 #include "deckpitch/place-ledger.h"
@@ -26,33 +27,36 @@
 constexpr std::size_t Instances = 204;
 const std::string Model = "m";
 const ServiceId Pool{"pool"};
-/// Between an agent's looks at its instance.
-constexpr milliseconds LookSpan{50};
-/// To an agent and back; to the instance.
-constexpr Duration NearWay = milliseconds(2);
-constexpr Duration FarWay = milliseconds(4);
+/// Interval at which an agent polls the load of its instance.
+constexpr milliseconds PollInterval{50};
+/// Time from the choice of an instance until the request runs there: a query to
+/// the agent and its reply, then the request itself.
+constexpr Duration LocalDelay = milliseconds(2);
+constexpr Duration RemoteDelay = milliseconds(4);
 constexpr milliseconds Objective{500};
 constexpr StreamSize Size{1'000, 90};
 constexpr Duration WarmUp = std::chrono::seconds(5);
-constexpr Duration Length = std::chrono::seconds(15);
-/// As entries do: questions before a refusal, and how far beyond a report.
-constexpr unsigned MostAsked = 3;
-constexpr double AskedBeyond = 2;
+constexpr Duration MeasuredPeriod = std::chrono::seconds(15);
+/// As entries do: agents queried before a request is refused, and requests by
+/// which an instance may exceed its limit by the last report and still be
+/// queried.
+constexpr unsigned MaxQueries = 3;
+constexpr double QueryBeyondLimit = 2;
 
-/// How late an entry knows: what an instance held at the last multiple of the
-/// span before now and the delay.
-struct Lateness {
-  milliseconds m_Span;
+/// Age of the load that an entry knows: that of the last multiple of the
+/// interval that lies at least the delay in the past.
+struct LoadAge {
+  milliseconds m_Interval;
   milliseconds m_Delay;
 };
 
-struct Knowledge {
+struct UpdateScheme {
   const char *m_Name;
-  Lateness m_Near;
-  Lateness m_Far;
+  LoadAge m_Local;
+  LoadAge m_Remote;
 };
 
-constexpr Knowledge Ways[] = {
+constexpr UpdateScheme Schemes[] = {
     {"perfect",
      {milliseconds(1), milliseconds(0)},
      {milliseconds(1), milliseconds(0)}},
@@ -85,57 +89,57 @@
   return Out;
 }
 
-/// One instance with the agent beside it.
+/// An instance and its agent.
 struct Upstream {
   InstanceId m_Id;
   std::string m_Address;
   std::size_t m_DataCentre = 0;
-  PlaceLedger m_Places;
+  PlaceLedger m_SlotLedger;
   std::uint32_t m_Held = 0;
-  /// What it held, by its looks.
-  std::vector<std::uint32_t> m_Looks;
+  /// The load found by each poll.
+  std::vector<std::uint32_t> m_PolledLoads;
 };
 
 struct Counts {
   std::uint64_t m_Requests = 0;
-  std::uint64_t m_Questions = 0;
+  std::uint64_t m_Queries = 0;
   std::uint64_t m_Refused = 0;
-  std::uint64_t m_Far = 0;
+  std::uint64_t m_Remote = 0;
 };
 
-/// An entry and which look of each instance it knows.
-struct KnowingEntry {
-  explicit KnowingEntry(std::size_t At)
+/// An entry and the last poll that it knows of each instance.
+struct SimulatedEntry {
+  explicit SimulatedEntry(std::size_t At)
       : m_DataCentre(At), m_Table(DataCentreId{std::to_string(At)}),
-        m_Known(Instances, 0) {}
+        m_KnownPolls(Instances, 0) {}
 
   std::size_t m_DataCentre;
   InstanceTable m_Table;
-  std::vector<std::size_t> m_Known;
+  std::vector<std::size_t> m_KnownPolls;
 };
 
 class LoadAgeRun {
 public:
-  LoadAgeRun(const Knowledge &Way, double Share, std::uint32_t Seed)
-      : m_Way(Way), m_Random(Seed) {
+  LoadAgeRun(const UpdateScheme &Scheme, double LoadFactor, std::uint32_t Seed)
+      : m_Scheme(Scheme), m_Random(Seed) {
     addUpstreams();
     addEntries();
-    const auto Places = static_cast<double>(Instances * profile().m_Slots);
+    const auto TotalSlots = static_cast<double>(Instances * profile().m_Slots);
     const double Seconds =
         std::chrono::duration<double>(streamTime(profile(), Size)).count();
-    m_BetweenArrivals =
-        std::exponential_distribution<double>(Share * Places / Seconds);
+    m_BetweenArrivals = std::exponential_distribution<double>(
+        LoadFactor * TotalSlots / Seconds);
   }
 
   Counts run() {
-    const TimePoint End = m_Start + WarmUp + Length;
-    at(m_Start, [this] { look(); });
+    const TimePoint End = m_Start + WarmUp + MeasuredPeriod;
+    at(m_Start, [this] { poll(); });
     at(m_Start, [this] { arrive(); });
     while (!m_Events.empty() && m_Events.top().m_At < End) {
       const Event Next = m_Events.top();
       m_Events.pop();
       m_Now = Next.m_At;
-      Next.m_Do();
+      Next.m_Action();
     }
     return m_Counts;
   }
@@ -144,14 +148,14 @@
   struct Event {
     TimePoint m_At;
     std::uint64_t m_Number;
-    std::function<void()> m_Do;
+    std::function<void()> m_Action;
     bool operator<(const Event &Other) const {
       return std::tie(Other.m_At, Other.m_Number) < std::tie(m_At, m_Number);
     }
   };
 
-  void at(TimePoint When, std::function<void()> Do) {
-    m_Events.push({When, ++m_LastEvent, std::move(Do)});
+  void at(TimePoint When, std::function<void()> Action) {
+    m_Events.push({When, ++m_LastEvent, std::move(Action)});
   }
 
   void addUpstreams() {
@@ -181,7 +185,7 @@
       Listed.push_back(One);
     }
     for (std::size_t I = 0; I < Entries; ++I) {
-      auto Each = std::make_unique<KnowingEntry>(I % DataCentres);
+      auto Each = std::make_unique<SimulatedEntry>(I % DataCentres);
       Each->m_Table.setServices({Service});
       Each->m_Table.setInstances(Listed, m_Start);
       Each->m_Table.setWeights({{Model, 1}}, m_Start);
@@ -190,126 +194,126 @@
     }
   }
 
-  void look() {
+  void poll() {
     for (Upstream &Each : m_Upstreams) {
-      Each.m_Looks.push_back(Each.m_Held);
-      Each.m_Places.reported(Each.m_Held, m_Now);
+      Each.m_PolledLoads.push_back(Each.m_Held);
+      Each.m_SlotLedger.reported(Each.m_Held, m_Now);
     }
-    at(m_Now + LookSpan, [this] { look(); });
+    at(m_Now + PollInterval, [this] { poll(); });
   }
 
-  /// The number of the look that an entry knows by now.
-  std::size_t knownLook(const Lateness &Late) const {
-    const Duration Since = m_Now - m_Start - Late.m_Delay;
-    const Duration Told = Since - Since % Duration(Late.m_Span);
+  /// Returns the index of the latest poll whose result has reached an entry.
+  std::size_t latestKnownPoll(const LoadAge &Age) const {
+    const Duration Since = m_Now - m_Start - Age.m_Delay;
+    const Duration Reported = Since - Since % Duration(Age.m_Interval);
     return static_cast<std::size_t>(
-        std::max<Duration::rep>(Told / Duration(LookSpan), 0));
+        std::max<Duration::rep>(Reported / Duration(PollInterval), 0));
   }
 
-  void learn(KnowingEntry &Of) {
+  void applyReports(SimulatedEntry &Of) {
     for (std::size_t I = 0; I < Instances; ++I) {
       const Upstream &Each = m_Upstreams[I];
-      const bool IsNear = Each.m_DataCentre == Of.m_DataCentre;
-      const std::size_t Look =
-          std::min(knownLook(IsNear ? m_Way.m_Near : m_Way.m_Far),
-                   Each.m_Looks.size() - 1);
+      const bool IsLocal = Each.m_DataCentre == Of.m_DataCentre;
+      const std::size_t Poll = std::min(
+          latestKnownPoll(IsLocal ? m_Scheme.m_Local : m_Scheme.m_Remote),
+          Each.m_PolledLoads.size() - 1);
       InstanceReport Report;
-      Report.m_Running = isPerfect() ? Each.m_Held : Each.m_Looks[Look];
+      Report.m_Running = isPerfect() ? Each.m_Held : Each.m_PolledLoads[Poll];
       Report.m_Weights = {{Model, 1, true}};
-      const bool IsNew = isPerfect() || Look != Of.m_Known[I];
-      if (IsNew || m_Now - m_Start < LookSpan)
+      const bool IsNew = isPerfect() || Poll != Of.m_KnownPolls[I];
+      if (IsNew || m_Now - m_Start < PollInterval)
         Of.m_Table.report(Each.m_Address, Report, m_Now);
-      Of.m_Known[I] = Look;
+      Of.m_KnownPolls[I] = Poll;
     }
   }
-  bool isPerfect() const { return m_Way.m_Near.m_Delay == milliseconds(0); }
+  bool isPerfect() const { return m_Scheme.m_Local.m_Delay == milliseconds(0); }
 
   void arrive() {
     const Duration Next = std::chrono::duration_cast<Duration>(
         std::chrono::duration<double>(m_BetweenArrivals(m_Random)));
     at(m_Now + Next, [this] { arrive(); });
-    std::uniform_int_distribution<std::size_t> Any(0, Entries - 1);
-    KnowingEntry &Entry = *m_Entries[Any(m_Random)];
-    learn(Entry);
-    const bool Counts = m_Now - m_Start > WarmUp;
-    m_Counts.m_Requests += Counts;
+    std::uniform_int_distribution<std::size_t> AnyEntry(0, Entries - 1);
+    SimulatedEntry &Entry = *m_Entries[AnyEntry(m_Random)];
+    applyReports(Entry);
+    const bool IsMeasured = m_Now - m_Start > WarmUp;
+    m_Counts.m_Requests += IsMeasured;
     ChoiceQuery Query;
     Query.m_Service = Pool;
     Query.m_Model = Model;
     Query.m_Objective = Objective;
-    Query.m_AskedBeyond = AskedBeyond;
+    Query.m_AskedBeyond = QueryBeyondLimit;
     Query.m_Size = Size;
-    for (unsigned Asked = 0; Asked < MostAsked; ++Asked) {
+    for (unsigned Queries = 0; Queries < MaxQueries; ++Queries) {
       const InstanceChoice Chosen = Entry.m_Table.choose(Query, m_Now);
       if (Chosen.m_Outcome != ChoiceOutcome::Chosen)
         break;
       Upstream &At = m_Upstreams[m_ById.at(Chosen.m_Instance)];
-      m_Counts.m_Questions += Counts;
-      const bool IsNear = At.m_DataCentre == Entry.m_DataCentre;
+      m_Counts.m_Queries += IsMeasured;
+      const bool IsLocal = At.m_DataCentre == Entry.m_DataCentre;
       if (grant(At, Query)) {
-        m_Counts.m_Far += Counts && !IsNear;
-        return begin(Entry, At, IsNear ? NearWay : FarWay);
+        m_Counts.m_Remote += IsMeasured && !IsLocal;
+        return begin(Entry, At, IsLocal ? LocalDelay : RemoteDelay);
       }
       Query.m_Full.insert(Chosen.m_Instance);
     }
-    m_Counts.m_Refused += Counts;
+    m_Counts.m_Refused += IsMeasured;
   }
 
   bool grant(Upstream &At, const ChoiceQuery &Query) {
-    return At.m_Places.grant(
+    return At.m_SlotLedger.grant(
         placeQueryFor(profile(), Size, Query.m_Objective, 0), m_Now);
   }
 
-  void begin(KnowingEntry &Entry, Upstream &At, Duration Way) {
+  void begin(SimulatedEntry &Entry, Upstream &At, Duration Delay) {
     Entry.m_Table.started(At.m_Id, m_Now);
-    at(m_Now + Way, [&At] { ++At.m_Held; });
+    at(m_Now + Delay, [&At] { ++At.m_Held; });
     const Duration Takes = streamTime(profile(), Size);
-    at(m_Now + Way + Objective / 2,
+    at(m_Now + Delay + Objective / 2,
        [&Entry, &At] { Entry.m_Table.answering(At.m_Id); });
-    at(m_Now + Way + Takes, [this, &Entry, &At] {
+    at(m_Now + Delay + Takes, [this, &Entry, &At] {
       --At.m_Held;
       Entry.m_Table.ended(At.m_Id, InstanceTable::End::Good, true, m_Now);
     });
   }
 
-  const Knowledge &m_Way;
+  const UpdateScheme &m_Scheme;
   std::mt19937 m_Random;
   std::exponential_distribution<double> m_BetweenArrivals;
   const TimePoint m_Start{std::chrono::hours(1)};
   TimePoint m_Now = m_Start;
   std::vector<Upstream> m_Upstreams;
   std::map<InstanceId, std::size_t> m_ById;
-  std::vector<std::unique_ptr<KnowingEntry>> m_Entries;
+  std::vector<std::unique_ptr<SimulatedEntry>> m_Entries;
   std::priority_queue<Event> m_Events;
   std::uint64_t m_LastEvent = 0;
   Counts m_Counts;
 };
 
-double shareOf(std::uint64_t Part, std::uint64_t All) {
+double ratio(std::uint64_t Part, std::uint64_t All) {
   return All == 0 ? 0 : static_cast<double>(Part) / static_cast<double>(All);
 }
 
-void print(const Knowledge &Way, double Share) {
+void print(const UpdateScheme &Scheme, double LoadFactor) {
   constexpr std::uint32_t Seeds = 3;
   Counts All;
   for (std::uint32_t Seed = 1; Seed <= Seeds; ++Seed) {
-    const Counts One = LoadAgeRun(Way, Share, Seed).run();
+    const Counts One = LoadAgeRun(Scheme, LoadFactor, Seed).run();
     All.m_Requests += One.m_Requests;
-    All.m_Questions += One.m_Questions;
+    All.m_Queries += One.m_Queries;
     All.m_Refused += One.m_Refused;
-    All.m_Far += One.m_Far;
+    All.m_Remote += One.m_Remote;
   }
-  std::cout << "load " << Share << ", " << Way.m_Name
-            << ": questions a request "
-            << shareOf(All.m_Questions, All.m_Requests) << ", refused "
-            << shareOf(All.m_Refused, All.m_Requests) << ", sent far "
-            << shareOf(All.m_Far, All.m_Requests) << std::endl;
+  std::cout << "load " << LoadFactor << ", " << Scheme.m_Name
+            << ": queries per request " << ratio(All.m_Queries, All.m_Requests)
+            << ", refused " << ratio(All.m_Refused, All.m_Requests)
+            << ", sent to a remote data centre "
+            << ratio(All.m_Remote, All.m_Requests) << std::endl;
 }
 
 } // namespace
 
 int main() {
-  for (const double Share : {0.7, 0.9, 1.0, 1.1})
-    for (const Knowledge &Way : Ways)
-      print(Way, Share);
+  for (const double LoadFactor : {0.7, 0.9, 1.0, 1.1})
+    for (const UpdateScheme &Scheme : Schemes)
+      print(Scheme, LoadFactor);
 }
--- a/support/measure/measure-swarm.cc
+++ b/support/measure/measure-swarm.cc
@@ -1,4 +1,5 @@
-// The swarm and its baselines in virtual time, over the same links.
+// Compares the swarm with baseline schemes of distribution, simulated in
+// virtual time over the same links.
 #include "simulation/tree-simulation.h"
 
 #include <iomanip>
