--- a/support/fuzz/bulk-target.cc
+++ b/support/fuzz/bulk-target.cc
@@ -16,7 +16,8 @@
           "a header is no longer than the limit");
   // With an invalid length, all that follows is parsed as the header, so that
   // the fuzzer still reaches the header's parser.
-  const std::string HeaderText = Length ? Reader.text(*Length) : Reader.rest();
+  const std::string HeaderText =
+      Length ? Reader.text(*Length) : Reader.remainder();
   const auto Header =
       outcomeOf([&] { return net::parseBulkHeader(HeaderText); });
   if (!Header)
--- a/support/fuzz/events-target.cc
+++ b/support/fuzz/events-target.cc
@@ -73,7 +73,7 @@
   constexpr std::uint32_t MaxPieceBytes = 16;
   InputReader Reader(Input);
   const std::uint32_t Seed = Reader.byte();
-  const std::string Text = Reader.rest();
+  const std::string Text = Reader.remainder();
   const Events Whole = split(Text, [&] { return Text.size(); });
   require(joined(Whole) == Text, "no byte of a stream is lost or reordered");
   for (const StreamEvent &Each : Whole.m_Complete)
--- a/support/fuzz/input-reader.h
+++ b/support/fuzz/input-reader.h
@@ -32,7 +32,7 @@
     return {Prefix.begin(), Prefix.end()};
   }
 
-  std::string rest() { return text(m_Remaining.size()); }
+  std::string remainder() { return text(m_Remaining.size()); }
 
 private:
   Bytes m_Remaining;
--- a/support/fuzz/relay-target.cc
+++ b/support/fuzz/relay-target.cc
@@ -137,7 +137,7 @@
 void fuzzRelay(Bytes Input) {
   InputReader Reader(Input);
   const int Kind = Reader.byte() % PackingCount;
-  const std::string Content = Reader.rest();
+  const std::string Content = Reader.remainder();
   switch (Kind) {
   case AsBody:
     return checkBody(Content);
@@ -155,7 +155,7 @@
   InputReader Reader(Input);
   const bool IsList = Reader.byte() % 2 == 1;
   const std::size_t Copies = std::size_t{1} << Reader.byte() % Logarithms;
-  const std::string Part = Reader.rest();
+  const std::string Part = Reader.remainder();
   std::string Whole;
   for (std::size_t I = 0; I < Copies && Whole.size() <= MaxTextBytes; ++I)
     Whole += Part;
--- a/support/fuzz/settings-target.cc
+++ b/support/fuzz/settings-target.cc
@@ -49,13 +49,13 @@
 } // namespace
 
 void fuzzSettings(Bytes Input) {
-  const std::string Text = InputReader(Input).rest();
+  const std::string Text = InputReader(Input).remainder();
   checkDirect(Text);
   parseOrRequireReason([&] { return parseSettings(Text); });
 }
 
 void fuzzManifest(Bytes Input) {
-  const std::string Text = InputReader(Input).rest();
+  const std::string Text = InputReader(Input).remainder();
   const auto Got = parseOrRequireReason([&] { return parseManifest(Text); });
   if (!Got)
     return;
