--- a/test/cluster.cc
+++ b/test/cluster.cc
@@ -55,11 +55,11 @@
 }
 
 bool Cluster::awaitNode(Node &Out) {
-  const json::object Said = Out.m_Process->announcement();
-  Out.m_Control = textOf(Said, "control");
-  Out.m_Requests = textOf(Said, "requests");
-  Out.m_Bulk = textOf(Said, "bulk");
-  Out.m_Operator = textOf(Said, "operator");
+  const json::object Announcement = Out.m_Process->announcement();
+  Out.m_Control = textOf(Announcement, "control");
+  Out.m_Requests = textOf(Announcement, "requests");
+  Out.m_Bulk = textOf(Announcement, "bulk");
+  Out.m_Operator = textOf(Announcement, "operator");
   return !Out.m_Control.empty() || fail(Out.m_Instance + " did not start");
 }
 
--- a/test/cluster.h
+++ b/test/cluster.h
@@ -1,4 +1,5 @@
-// A whole system of real processes for tests: stand-ins, entries, agents.
+// Runs a complete system for tests as real processes: stand-ins, entries and
+// agents.
 #pragma once
 
 #include "harness.h"
@@ -18,17 +19,19 @@
   std::uint32_t m_Slots = 2;
   std::uint32_t m_Concurrency = 8;
   bool m_StrictFencing = false;
-  bool m_Store = false; ///< gives agents the weight store besides the origin
-  std::vector<std::string> m_DataCentres{"lahore"}; ///< agents in turn
-  bool m_SpreadEntries = false; ///< entries in turn too; else in the first
+  bool m_Store = false; ///< agents use the weight store as well as the origin
+  std::vector<std::string> m_DataCentres{
+      "lahore"};                ///< assigned to agents round robin
+  bool m_SpreadEntries = false; ///< round robin as well; else all in the first
   std::string m_ServicePool = "orders";
-  std::string m_Scheme; ///< of outside addresses in settings, as "http://"
+  std::string m_Scheme; ///< prefix of upstream, platform, origin and store
+                        ///< addresses in settings, such as "http://"
   std::uint64_t m_LinkRate = 0; ///< of agents, each way, bytes/s; 0: unlimited
-  /// Agents, by number, with links of other rates.
+  /// Link rates that differ from m_LinkRate, by index of the agent.
   std::map<std::size_t, std::uint64_t> m_OtherLinkRates;
 };
 
-/// A deckpitchd and what it announced.
+/// A deckpitchd process and the addresses that it announced.
 struct Node {
   std::string m_Instance;
   std::string m_Settings; ///< path
@@ -39,14 +42,15 @@
   std::optional<Child> m_Process;
 };
 
-/// A stand-in with a process of its own.
+/// A stand-in that runs in its own process.
 struct StandInNode {
   std::string m_Kind;
   std::string m_Address;
   std::optional<Child> m_Process;
 };
 
-/// Starts everything; each process can be killed, frozen and restarted.
+/// Starts all processes of a system; each one can be killed, paused and
+/// restarted.
 ///
 ///   Cluster Under({.m_Engines = 4});
 ///   ASSERT_TRUE(Under.start());
@@ -57,7 +61,7 @@
 public:
   explicit Cluster(ClusterOptions Options) : m_Options(std::move(Options)) {}
 
-  /// False, with failure() saying why, when a process did not come up.
+  /// Returns false if a process did not start; failure() then has the reason.
   bool start();
   const std::string &failure() const { return m_Failure; }
 
@@ -73,23 +77,26 @@
   std::size_t agents() const { return m_Agents.size(); }
   std::size_t engines() const { return m_Engines.size(); }
 
-  /// Starts the process again on the addresses it had; empty: it is up.
+  /// Restarts the process on its previous addresses; returns whether it came
+  /// up.
   bool restart(Node &Which);
   bool restart(StandInNode &Which);
 
-  /// Makes content at the origin (and store); gives its whole digest in hex.
+  /// Creates weights at the origin and the store; returns the digest of the
+  /// complete content in hex.
   std::string addWeights(const std::string &Weights, std::uint64_t Bytes,
                          std::uint32_t ChunkBytes, std::uint64_t Seed = 1);
-  /// Creates or replaces an engine pool through an entry's operators' port.
+  /// Creates or replaces an engine pool through an entry's operator port.
   bool declarePool(const std::string &Name, const std::string &Model,
                    const std::string &Version, std::size_t Entry = 0);
   bool declareServicePool(const std::string &Path, std::size_t Entry = 0);
-  /// Creates or replaces any declared object; gives the HTTP status.
+  /// Creates or replaces a declared object; returns the HTTP status.
   unsigned declare(const std::string &Kind, const std::string &Name,
                    const std::string &Json, std::size_t Entry = 0);
-  /// Engines whose active weights are these, by their own word.
+  /// Returns the number of engines that report these weights as active.
   std::size_t enginesServing(const std::string &Weights) const;
-  /// The words of every process on standard error, for a failed test.
+  /// Returns the standard error of the platform, entries and agents, to
+  /// explain a failed test.
   std::string logs() const;
 
 private:
--- a/test/harness-test.cc
+++ b/test/harness-test.cc
@@ -11,7 +11,7 @@
 
 namespace {
 
-TEST(Harness, StopsFreezesAndKillsAProcess) {
+TEST(Harness, StopsPausesAndKillsAProcess) {
   Child Process("deckpitch-standins", {"--kind=service"});
   const std::string Address =
       Process.announcement().at("address").as_string().c_str();
@@ -26,7 +26,7 @@
   EXPECT_EQ(Killed.waitForExit(), -SIGKILL);
 }
 
-TEST(Harness, GivesNothingForAProcessThatEndsWithoutAnnouncing) {
+TEST(Harness, ReturnsAnEmptyAnnouncementWhenTheProcessExitsEarly) {
   Child Process("deckpitch-standins", {"--kind=nothing"});
   EXPECT_TRUE(Process.announcement().empty());
   EXPECT_EQ(Process.waitForExit(), 2);
@@ -34,35 +34,38 @@
 }
 
 TEST(Harness, StartsAClusterAndRestartsItsParts) {
-  Cluster Under({.m_Engines = 2, .m_Services = 1});
-  ASSERT_TRUE(Under.start()) << Under.failure();
-  EXPECT_EQ(Under.addWeights("m@1", 1 << 20, 1 << 16).size(), 64U);
-  EXPECT_EQ(Under.enginesServing("m@1"), 0U);
-  const std::string Before = Under.agent(0).m_Control;
-  Under.agent(0).m_Process->signal(SIGKILL);
-  ASSERT_TRUE(Under.restart(Under.agent(0))) << Under.failure();
-  EXPECT_EQ(Under.agent(0).m_Control, Before);
-  Under.engine(1).m_Process->signal(SIGKILL);
-  ASSERT_TRUE(Under.restart(Under.engine(1))) << Under.failure();
-  for (std::size_t I = 0; I < Under.agents(); ++I)
-    EXPECT_EQ(Under.agent(I).m_Process->stop(), 0);
-  for (std::size_t I = 0; I < Under.entries(); ++I)
-    EXPECT_EQ(Under.entry(I).m_Process->stop(), 0);
+  Cluster TestCluster({.m_Engines = 2, .m_Services = 1});
+  ASSERT_TRUE(TestCluster.start()) << TestCluster.failure();
+  EXPECT_EQ(TestCluster.addWeights("m@1", 1 << 20, 1 << 16).size(), 64U);
+  EXPECT_EQ(TestCluster.enginesServing("m@1"), 0U);
+  const std::string Before = TestCluster.agent(0).m_Control;
+  TestCluster.agent(0).m_Process->signal(SIGKILL);
+  ASSERT_TRUE(TestCluster.restart(TestCluster.agent(0)))
+      << TestCluster.failure();
+  EXPECT_EQ(TestCluster.agent(0).m_Control, Before);
+  TestCluster.engine(1).m_Process->signal(SIGKILL);
+  ASSERT_TRUE(TestCluster.restart(TestCluster.engine(1)))
+      << TestCluster.failure();
+  for (std::size_t I = 0; I < TestCluster.agents(); ++I)
+    EXPECT_EQ(TestCluster.agent(I).m_Process->stop(), 0);
+  for (std::size_t I = 0; I < TestCluster.entries(); ++I)
+    EXPECT_EQ(TestCluster.entry(I).m_Process->stop(), 0);
 }
 
-TEST(Programs, SayHowTheyAreUsed) {
+TEST(CommandLine, PrintsUsageForHelpAndForMissingSettings) {
   for (const std::string Name : {"deckpitchd", "deckpitchctl"}) {
-    Child Asked(Name, {"--help"});
-    EXPECT_EQ(Asked.waitForExit(), 1) << Name; // The flags library's own code.
-    const std::string Said = Asked.output();
-    EXPECT_EQ(Said.find("No flags matched"), std::string::npos) << Said;
-    EXPECT_NE(Said.find(Name == "deckpitchd" ? "--settings" : "--output"),
+    Child Process(Name, {"--help"});
+    // The exit code of the flags library.
+    EXPECT_EQ(Process.waitForExit(), 1) << Name;
+    const std::string Usage = Process.output();
+    EXPECT_EQ(Usage.find("No flags matched"), std::string::npos) << Usage;
+    EXPECT_NE(Usage.find(Name == "deckpitchd" ? "--settings" : "--output"),
               std::string::npos)
-        << Said;
+        << Usage;
   }
-  Child Bare("deckpitchd", {});
-  EXPECT_EQ(Bare.waitForExit(), 2);
-  EXPECT_NE(Bare.errors().find("exit codes"), std::string::npos);
+  Child WithoutSettings("deckpitchd", {});
+  EXPECT_EQ(WithoutSettings.waitForExit(), 2);
+  EXPECT_NE(WithoutSettings.errors().find("exit codes"), std::string::npos);
 }
 
 } // namespace
--- a/test/harness.cc
+++ b/test/harness.cc
@@ -22,11 +22,11 @@
 
 namespace {
 
-constexpr int PollMilliseconds = 5;
-constexpr int ExecFailed = 127;
-constexpr net::CallLimits TestCall{std::chrono::milliseconds(2'000),
-                                   std::chrono::milliseconds(10'000),
-                                   std::chrono::milliseconds(10'000)};
+constexpr int PollIntervalMs = 5;
+constexpr int ExecFailedExitCode = 127;
+constexpr net::CallLimits TestCallLimits{std::chrono::milliseconds(2'000),
+                                         std::chrono::milliseconds(10'000),
+                                         std::chrono::milliseconds(10'000)};
 
 std::string readFile(const std::string &Path) {
   std::ifstream File(Path);
@@ -35,18 +35,19 @@
   return Text.str();
 }
 
-/// In the child, between fork and exec: only async-signal-safe calls.
-void becomeProgram(char *const *Arguments, int Output, int Errors) {
+/// Runs in the child between fork and exec, so it may make only
+/// async-signal-safe calls.
+void execProgram(char *const *Arguments, int Output, int Errors) {
   prctl(PR_SET_PDEATHSIG, SIGKILL);
   dup2(Output, STDOUT_FILENO);
   dup2(Errors, STDERR_FILENO);
   execv(Arguments[0], Arguments);
-  _exit(ExecFailed);
+  _exit(ExecFailedExitCode);
 }
 
 } // namespace
 
-void detail::pollPause() { ::poll(nullptr, 0, PollMilliseconds); }
+void detail::sleepPollInterval() { ::poll(nullptr, 0, PollIntervalMs); }
 
 ScratchDirectory::ScratchDirectory() {
   std::string Pattern =
@@ -92,7 +93,7 @@
   const int Errors = ::open(m_Errors.c_str(), Flags, 0600);
   m_Pid = fork();
   if (m_Pid == 0)
-    becomeProgram(Pointers.data(), Output, Errors);
+    execProgram(Pointers.data(), Output, Errors);
   ::close(Output);
   ::close(Errors);
 }
@@ -156,8 +157,8 @@
   return m_Status;
 }
 
-std::optional<int> Child::waitForExit(std::chrono::milliseconds Cap) {
-  eventually([this] { return !running(); }, Cap);
+std::optional<int> Child::waitForExit(std::chrono::milliseconds Timeout) {
+  eventually([this] { return !running(); }, Timeout);
   return m_Status;
 }
 
@@ -178,7 +179,7 @@
   Request.m_Target = Target;
   Request.m_Headers = std::move(Headers);
   Request.m_Body = std::move(Body);
-  return net::callAndWait(Address, std::move(Request), TestCall);
+  return net::callAndWait(Address, std::move(Request), TestCallLimits);
 }
 
 std::vector<std::string> readLines(const std::string &Address,
@@ -190,7 +191,8 @@
   const auto Read = [&]() -> boost::asio::awaitable<void> {
     net::HttpRequest Request;
     Request.m_Target = Target;
-    auto Opened = co_await Http.open(Address, std::move(Request), TestCall);
+    auto Opened =
+        co_await Http.open(Address, std::move(Request), TestCallLimits);
     std::string Buffer;
     while (Opened && Lines.size() < Count) {
       const auto Piece = co_await (*Opened)->read();
--- a/test/harness.h
+++ b/test/harness.h
@@ -1,4 +1,4 @@
-// Starts the project's programs as processes, for tests.
+// Starts the project's programs as child processes of a test.
 #pragma once
 
 #include "net/http.h"
@@ -17,30 +17,31 @@
 
 namespace deckpitch::test {
 
-/// Far above what any condition needs; reached only by a fault.
+/// Far longer than any condition takes; reached only after a failure.
 inline constexpr std::chrono::milliseconds WaitCap{60'000};
 
 namespace detail {
 
-void pollPause();
+void sleepPollInterval();
 
 } // namespace detail
 
-/// Polls until the condition holds; false when the cap passed first.
+/// Polls until the condition holds; returns false on timeout.
 ///
 ///   ASSERT_TRUE(eventually([&] { return Agent.exitStatus().has_value(); }));
 template <std::predicate Condition>
-bool eventually(Condition &&Holds, std::chrono::milliseconds Cap = WaitCap) {
-  const auto End = std::chrono::steady_clock::now() + Cap;
+bool eventually(Condition &&Holds,
+                std::chrono::milliseconds Timeout = WaitCap) {
+  const auto End = std::chrono::steady_clock::now() + Timeout;
   while (!Holds()) {
     if (std::chrono::steady_clock::now() >= End)
       return false;
-    detail::pollPause();
+    detail::sleepPollInterval();
   }
   return true;
 }
 
-/// A directory of its own for one test, removed at the end.
+/// A temporary directory that is removed on destruction.
 class ScratchDirectory {
 public:
   ScratchDirectory();
@@ -48,7 +49,7 @@
   ScratchDirectory(const ScratchDirectory &) = delete;
   ScratchDirectory &operator=(const ScratchDirectory &) = delete;
 
-  /// Writes a file and gives its path.
+  /// Writes a file and returns its path.
   std::string write(const std::string &Name, const std::string &Text) const;
   const std::filesystem::path &path() const { return m_Path; }
 
@@ -56,26 +57,27 @@
   std::filesystem::path m_Path;
 };
 
-/// One child process; killed, if it still runs, when this ends.
+/// A child process, killed on destruction if it still runs.
 class Child {
 public:
-  /// Program: a name in the build folder, such as "deckpitchd".
+  /// Program is a name in the build directory, such as "deckpitchd".
   Child(const std::string &Program, const std::vector<std::string> &Arguments);
   ~Child();
   Child(Child &&Other) noexcept;
   Child &operator=(Child &&Other) noexcept;
 
-  /// The n-th JSON line on standard output, waiting for it; an empty object
-  /// when the process ended without it.
+  /// Waits for the given line of standard output (counted from 0) and returns
+  /// its JSON object; empty if the process exited without writing it.
   boost::json::object announcement(std::size_t Line = 0);
-  /// SIGTERM, SIGKILL, SIGSTOP or SIGCONT.
+  /// Sends SIGTERM, SIGKILL, SIGSTOP or SIGCONT.
   void signal(int Number);
   bool running();
-  /// The exit code, or minus the signal's number; none while it runs.
+  /// Returns the exit code, or the negated signal number; empty while the
+  /// process runs.
   std::optional<int> exitStatus();
-  /// Waits for the end; none when the cap passed first.
-  std::optional<int> waitForExit(std::chrono::milliseconds Cap = WaitCap);
-  /// SIGTERM, then waits.
+  /// Waits for the process to exit; empty on timeout.
+  std::optional<int> waitForExit(std::chrono::milliseconds Timeout = WaitCap);
+  /// Sends SIGTERM and waits for the exit.
   std::optional<int> stop();
   std::string output() const;
   std::string errors() const;
@@ -90,27 +92,28 @@
   std::string m_Errors;
 };
 
-/// An HTTP call with short limits, for tests' own use.
+/// Makes an HTTP call with short timeouts.
 Outcome<net::HttpResponse> call(const std::string &Address,
                                 const std::string &Method,
                                 const std::string &Target,
                                 std::string Body = "",
                                 net::HttpHeaders Headers = {});
-/// Reads the first lines of an answer that does not end, then hangs up; fewer
-/// when it ends before.
+/// Reads the first lines of an unbounded response, then disconnects; returns
+/// fewer if the response ends earlier.
 std::vector<std::string> readLines(const std::string &Address,
                                    const std::string &Target,
                                    std::size_t Count);
-/// The status of the call, or 0 without an answer.
+/// Returns the HTTP status of the call, or 0 if it failed.
 unsigned statusOf(const Outcome<net::HttpResponse> &Answer);
-/// The answer's body as JSON; null when there is none.
+/// Returns the response body as JSON; null if the call failed or the body is
+/// invalid.
 boost::json::value jsonOf(const Outcome<net::HttpResponse> &Answer);
-/// Replaces a stand-in's faults; "{}" heals.
+/// Replaces the injected faults of a stand-in; "{}" clears them.
 bool setFaults(const std::string &Address, const std::string &Json);
-/// A stand-in's counter, or 0.
+/// Returns a counter of a stand-in, or 0 if it is absent.
 std::uint64_t counterOf(const std::string &Address, std::string_view Name);
 
-/// A directory shared by all children of this test program.
+/// Returns the directory that holds the output of all child processes.
 const ScratchDirectory &scratch();
 
 } // namespace deckpitch::test
