--- a/test/bad-input-test.cc
+++ b/test/bad-input-test.cc
@@ -1,5 +1,5 @@
-// Bad input on every port of real processes: each row gets its answer, and
-// after each the same processes serve as before.
+// Tests invalid input on every port of real processes: each case gets its
+// expected response, and the same processes continue to serve afterwards.
 #include "cluster.h"
 #include "deckpitch/manifest.h"
 #include "load/chat-client.h"
@@ -26,33 +26,33 @@
 class BadInput : public testing::Test {
 protected:
   void SetUp() override {
-    ASSERT_TRUE(m_Under.start()) << m_Under.failure();
-    m_Digest = m_Under.addWeights("m@1", ContentBytes, ChunkBytes);
-    ASSERT_TRUE(m_Under.declarePool("chat", "m", "1")) << m_Under.logs();
-    ASSERT_TRUE(m_Under.declareServicePool("/orders"));
-    expectUnharmed();
+    ASSERT_TRUE(m_Cluster.start()) << m_Cluster.failure();
+    m_Digest = m_Cluster.addWeights("m@1", ContentBytes, ChunkBytes);
+    ASSERT_TRUE(m_Cluster.declarePool("chat", "m", "1")) << m_Cluster.logs();
+    ASSERT_TRUE(m_Cluster.declareServicePool("/orders"));
+    expectHealthy();
   }
 
-  Node &entry() { return m_Under.entry(0); }
-  Node &agent() { return m_Under.agent(0); }
-
-  /// Each process still runs, each engine is ready by each entry's word, and
-  /// each entry gives whole answers.
-  void expectUnharmed() {
-    for (std::size_t I = 0; I < m_Under.agents(); ++I)
-      EXPECT_TRUE(m_Under.agent(I).m_Process->running()) << m_Under.logs();
-    for (std::size_t I = 0; I < m_Under.entries(); ++I) {
-      Node &Entry = m_Under.entry(I);
-      ASSERT_TRUE(Entry.m_Process->running()) << m_Under.logs();
-      ASSERT_TRUE(eventually([&] { return readyBy(Entry) == 2; }))
-          << m_Under.logs();
+  Node &entry() { return m_Cluster.entry(0); }
+  Node &agent() { return m_Cluster.agent(0); }
+
+  /// Checks that each process still runs, and that each entry reports all
+  /// engines ready and returns complete answers.
+  void expectHealthy() {
+    for (std::size_t I = 0; I < m_Cluster.agents(); ++I)
+      EXPECT_TRUE(m_Cluster.agent(I).m_Process->running()) << m_Cluster.logs();
+    for (std::size_t I = 0; I < m_Cluster.entries(); ++I) {
+      Node &Entry = m_Cluster.entry(I);
+      ASSERT_TRUE(Entry.m_Process->running()) << m_Cluster.logs();
+      ASSERT_TRUE(eventually([&] { return readyInstancesAt(Entry) == 2; }))
+          << m_Cluster.logs();
       std::string Detail;
-      ASSERT_TRUE(eventually([&] { return answersWhole(Entry, Detail); }))
-          << Detail << m_Under.logs();
+      ASSERT_TRUE(eventually([&] { return answersCompletely(Entry, Detail); }))
+          << Detail << m_Cluster.logs();
     }
   }
 
-  std::int64_t readyBy(const Node &Entry) {
+  std::int64_t readyInstancesAt(const Node &Entry) {
     const json::value Status =
         jsonOf(call(Entry.m_Operator, "GET", "/v1/status"));
     if (!Status.is_object())
@@ -63,8 +63,9 @@
     return -1;
   }
 
-  /// A request may be told that it was not run, but never answered wrongly.
-  static bool answersWhole(const Node &Entry, std::string &Detail) {
+  /// Returns whether a request got its complete answer. It may be rejected as
+  /// not run, but a wrong answer fails the test.
+  static bool answersCompletely(const Node &Entry, std::string &Detail) {
     load::ChatRequest Request;
     Request.m_Model = "chat";
     Request.m_Prompt = "good";
@@ -74,88 +75,90 @@
     return Answer.m_Verdict == load::Verdict::Whole;
   }
 
-  Cluster m_Under{{.m_Engines = 2, .m_Services = 1}};
+  Cluster m_Cluster{{.m_Engines = 2, .m_Services = 1}};
   std::string m_Digest;
 };
 
-enum class Then {
-  Close,     ///< hangs up at once
-  ReadToEnd, ///< the process answers or hangs up
+enum class ClientAction {
+  Close,     ///< the client disconnects at once
+  ReadToEnd, ///< the process responds or disconnects
 };
 
-struct BytesRow {
+struct BytesCase {
   const char *m_Name;
   std::string m_Bytes;
-  Then m_Then = Then::ReadToEnd;
-  const char *m_Answer = ""; ///< start of what is answered
+  ClientAction m_Action = ClientAction::ReadToEnd;
+  const char *m_ExpectedStart = ""; ///< start of the response
 };
 
-/// Each row on a connection of its own.
-void sendRow(const std::string &Address, const BytesRow &Row) {
+/// Sends the bytes on a new connection.
+void sendCase(const std::string &Address, const BytesCase &Row) {
   RawConnection Client(Address);
   Client.send(Row.m_Bytes);
-  if (Row.m_Then == Then::Close)
+  if (Row.m_Action == ClientAction::Close)
     return Client.close();
   const std::string Read = Client.readToEnd();
-  EXPECT_EQ(Read.rfind(Row.m_Answer, 0), 0U) << Read;
+  EXPECT_EQ(Read.rfind(Row.m_ExpectedStart, 0), 0U) << Read;
 }
 
 const std::string RandomBytes = "\x16\x03\x01\x02\xfc\xff\x9b\r\n\r\n\xfe\x7f"
                                 "\x11\x80 \r\n\r\n";
 
-/// Much more than a request of any kind may have.
+/// Announces a body far above the limit of any request.
 const std::string HugeBody =
     "POST /v1/chat/completions HTTP/1.1\r\nContent-Length: 999999999\r\n\r\n";
 
-const std::vector<BytesRow> HttpRows{
-    {"random bytes", RandomBytes, Then::ReadToEnd, "HTTP/1.1 400 "},
-    {"nothing", "", Then::Close},
-    {"half a request", "POST /v1/chat/completions HTTP/1.1\r\nHo", Then::Close},
+const std::vector<BytesCase> HttpCases{
+    {"random bytes", RandomBytes, ClientAction::ReadToEnd, "HTTP/1.1 400 "},
+    {"nothing", "", ClientAction::Close},
+    {"half a request", "POST /v1/chat/completions HTTP/1.1\r\nHo",
+     ClientAction::Close},
     {"half a body",
      "POST /v1/chat/completions HTTP/1.1\r\nContent-Length: 50\r\n\r\n{\"mo",
-     Then::Close},
+     ClientAction::Close},
     {"half a chunked body",
      "POST /v1/chat/completions HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"
      "5\r\n{\"m",
-     Then::Close},
+     ClientAction::Close},
     {"oversized header",
      "GET /v1/addresses HTTP/1.1\r\nA: " + std::string(20'000, 'x') +
          "\r\n\r\n",
-     Then::ReadToEnd, "HTTP/1.1 431 "},
-    {"oversized body", HugeBody, Then::ReadToEnd, "HTTP/1.1 413 "},
+     ClientAction::ReadToEnd, "HTTP/1.1 431 "},
+    {"oversized body", HugeBody, ClientAction::ReadToEnd, "HTTP/1.1 413 "},
     {"length beyond numbers",
      "POST / HTTP/1.1\r\nContent-Length: 99999999999999999999999\r\n\r\n",
-     Then::ReadToEnd, "HTTP/1.1 400 "},
+     ClientAction::ReadToEnd, "HTTP/1.1 400 "},
     {"another protocol's preface", "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n",
-     Then::ReadToEnd, "HTTP/1.1 400 "},
+     ClientAction::ReadToEnd, "HTTP/1.1 400 "},
     {"unknown method",
      "BREW /v1/addresses HTTP/1.1\r\nConnection: close\r\n\r\n",
-     Then::ReadToEnd, "HTTP/1.1 40"},
+     ClientAction::ReadToEnd, "HTTP/1.1 40"},
 };
 
-TEST_F(BadInput, BytesOnTheHttpPortsHarmNothing) {
+TEST_F(BadInput, MalformedBytesOnTheHttpPortsLeaveProcessesHealthy) {
   for (const Node *Each : {&entry(), &agent()})
     for (const std::string &Address : {Each->m_Requests, Each->m_Operator})
-      for (const BytesRow &Row : HttpRows) {
+      for (const BytesCase &Row : HttpCases) {
         SCOPED_TRACE(Each->m_Instance + " " + Address + ": " + Row.m_Name);
-        sendRow(Address, Row);
-        expectUnharmed();
+        sendCase(Address, Row);
+        expectHealthy();
       }
 }
 
-/// The first bytes of two ZeroMQ peers that understand each other.
+/// A valid ZeroMQ greeting.
 const std::string ZeroMqGreeting =
     std::string("\xff\0\0\0\0\0\0\0\x01\x7f\x03\x01NULL", 16) +
     std::string(48, '\0');
 
-const std::vector<BytesRow> BusRows{
-    {"random bytes", RandomBytes, Then::Close},
-    {"HTTP", "GET / HTTP/1.1\r\n\r\n", Then::Close},
-    {"half a greeting", ZeroMqGreeting.substr(0, 11), Then::Close},
+const std::vector<BytesCase> BusCases{
+    {"random bytes", RandomBytes, ClientAction::Close},
+    {"HTTP", "GET / HTTP/1.1\r\n\r\n", ClientAction::Close},
+    {"half a greeting", ZeroMqGreeting.substr(0, 11), ClientAction::Close},
     {"a greeting, then random bytes", ZeroMqGreeting + RandomBytes,
-     Then::Close},
+     ClientAction::Close},
     {"a greeting, then a frame of an absurd length",
-     ZeroMqGreeting + "\x06" + std::string(8, '\x7f') + "x", Then::Close},
+     ZeroMqGreeting + "\x06" + std::string(8, '\x7f') + "x",
+     ClientAction::Close},
 };
 
 std::string envelope(const std::string &Sender,
@@ -167,21 +170,22 @@
   return Message.SerializeAsString();
 }
 
-struct MessageRow {
+struct MessageCase {
   const char *m_Name;
   std::string m_Bytes;
-  bool m_IsEnvelope = false; ///< else it must be counted as refused
+  bool m_IsEnvelope = false; ///< if false, it must be counted as refused
 };
 
-std::vector<MessageRow> messageRows() {
+std::vector<MessageCase> messageCases() {
   return {
       {"nothing", ""},
-      {"no protobuf", "\xff\xff\xff\xff"},
+      {"not protobuf", "\xff\xff\xff\xff"},
       {"text", std::string(1'000, 'x')},
       {"no sender", envelope("", [](wire::Envelope &) {})},
-      {"a name that is no text", envelope("\xc3\x28", [](wire::Envelope &) {})},
+      {"a sender that is not valid UTF-8",
+       envelope("\xc3\x28", [](wire::Envelope &) {})},
       {"no body", envelope("stranger", [](wire::Envelope &) {}), true},
-      {"a member that makes no sense",
+      {"a member with invalid fields",
        envelope("stranger",
                 [](wire::Envelope &Out) {
                   auto *Beat = Out.mutable_membership()->mutable_heartbeat();
@@ -242,50 +246,51 @@
   };
 }
 
-std::uint64_t refusedBy(const Node &Of) {
+std::uint64_t refusedMessagesAt(const Node &Of) {
   const json::value Dump = jsonOf(call(Of.m_Operator, "GET", "/v1/dump"));
   return Dump.is_object()
              ? Dump.at("controlMessagesRefused").to_number<std::uint64_t>()
              : 0;
 }
 
-TEST_F(BadInput, BytesAndMessagesOnTheControlBusHarmNothing) {
+TEST_F(BadInput, MalformedMessagesOnTheControlBusLeaveProcessesHealthy) {
   for (const Node *Each : {&entry(), &agent()}) {
-    for (const BytesRow &Row : BusRows) {
+    for (const BytesCase &Row : BusCases) {
       SCOPED_TRACE(Each->m_Instance + ": " + Row.m_Name);
-      sendRow(Each->m_Control, Row);
-      expectUnharmed();
+      sendCase(Each->m_Control, Row);
+      expectHealthy();
     }
     zmq::context_t Context;
     zmq::socket_t Sender(Context, zmq::socket_type::push);
     Sender.set(zmq::sockopt::linger, 0);
     Sender.connect("tcp://" + Each->m_Control);
-    for (const MessageRow &Row : messageRows()) {
+    for (const MessageCase &Row : messageCases()) {
       SCOPED_TRACE(Each->m_Instance + ": " + Row.m_Name);
-      const std::uint64_t Before = refusedBy(*Each);
+      const std::uint64_t Before = refusedMessagesAt(*Each);
       Sender.send(zmq::buffer(Row.m_Bytes), zmq::send_flags::none);
       if (!Row.m_IsEnvelope) {
-        EXPECT_TRUE(eventually([&] { return refusedBy(*Each) > Before; }));
+        EXPECT_TRUE(
+            eventually([&] { return refusedMessagesAt(*Each) > Before; }));
       }
-      expectUnharmed();
+      expectHealthy();
     }
-    const std::uint64_t Before = refusedBy(*Each);
+    const std::uint64_t Before = refusedMessagesAt(*Each);
     Sender.send(zmq::str_buffer("two"), zmq::send_flags::sndmore);
     Sender.send(zmq::str_buffer("parts"), zmq::send_flags::none);
-    EXPECT_TRUE(eventually([&] { return refusedBy(*Each) > Before; }));
-    expectUnharmed();
+    EXPECT_TRUE(eventually([&] { return refusedMessagesAt(*Each) > Before; }));
+    expectHealthy();
   }
 }
 
-std::string frame(const std::function<void(wire::BulkFrame &)> &Fill) {
+std::string bulkFrame(const std::function<void(wire::BulkFrame &)> &Fill) {
   wire::BulkFrame Out;
   Fill(Out);
   return net::formatBulkHeader(Out);
 }
 
-std::string helloOf(const std::string &Instance, const std::string &Weights,
-                    const Digest &Whole, std::uint32_t Chunks) {
-  return frame([&](wire::BulkFrame &Out) {
+std::string helloFrame(const std::string &Instance, const std::string &Weights,
+                       const Digest &Whole, std::uint32_t Chunks) {
+  return bulkFrame([&](wire::BulkFrame &Out) {
     wire::BulkHello &Hello = *Out.mutable_hello();
     Hello.set_instance(Instance);
     Hello.set_weights(Weights);
@@ -295,23 +300,23 @@
   });
 }
 
-std::vector<BytesRow> bulkRows(const Digest &Whole) {
+std::vector<BytesCase> bulkCases(const Digest &Whole) {
   const std::string Good =
-      helloOf("stranger", "m@1", Whole, ContentBytes / ChunkBytes);
+      helloFrame("stranger", "m@1", Whole, ContentBytes / ChunkBytes);
   const auto Request = [](std::uint32_t Chunk) {
-    return frame(
+    return bulkFrame(
         [&](wire::BulkFrame &Out) { Out.mutable_request()->set_chunk(Chunk); });
   };
-  const std::string Have = frame([](wire::BulkFrame &Out) {
+  const std::string Have = bulkFrame([](wire::BulkFrame &Out) {
     Out.mutable_have()->add_here(UINT32_MAX);
     Out.mutable_have()->add_seen(UINT32_MAX);
   });
-  const std::string Piece = frame([](wire::BulkFrame &Out) {
+  const std::string Piece = bulkFrame([](wire::BulkFrame &Out) {
     Out.mutable_piece()->set_chunk(UINT32_MAX);
     Out.mutable_piece()->set_offset(UINT64_MAX);
     Out.mutable_piece()->set_length(4);
   });
-  const std::string LongPiece = frame([](wire::BulkFrame &Out) {
+  const std::string LongPiece = bulkFrame([](wire::BulkFrame &Out) {
     Out.mutable_piece()->set_length(UINT32_MAX);
   });
   return {
@@ -319,46 +324,48 @@
       {"HTTP", "GET / HTTP/1.1\r\n\r\n"},
       {"an absurd length", "\xff\xff\xff\xff"},
       {"no length", std::string(4, '\0')},
-      {"a header that is no protobuf",
+      {"a header that is not protobuf",
        std::string("\0\0\0\4\xff\xff\xff\xff", 8)},
       {"a piece before the greeting", Piece + "abcd"},
-      {"a greeting of unknown weights", helloOf("stranger", "none@0", {}, 4)},
-      {"a greeting of other content", helloOf("stranger", "m@1", {}, 4)},
+      {"a greeting of unknown weights",
+       helloFrame("stranger", "none@0", {}, 4)},
+      {"a greeting of other content", helloFrame("stranger", "m@1", {}, 4)},
       {"a greeting with too many chunks",
-       helloOf("stranger", "m@1", Whole, UINT32_MAX)},
-      {"a greeting without a name", helloOf("", "m@1", Whole, 4)},
-      {"half a greeting", Good.substr(0, Good.size() / 2), Then::Close},
-      {"a greeting, then nothing", Good, Then::Close},
-      {"requests of chunks that are none",
-       Good + Request(UINT32_MAX) + Request(4), Then::Close},
-      {"chunks that are none", Good + Have, Then::Close},
-      {"a piece of a chunk that is none", Good + Piece + "abcd", Then::Close},
+       helloFrame("stranger", "m@1", Whole, UINT32_MAX)},
+      {"a greeting without a name", helloFrame("", "m@1", Whole, 4)},
+      {"half a greeting", Good.substr(0, Good.size() / 2), ClientAction::Close},
+      {"a greeting, then nothing", Good, ClientAction::Close},
+      {"requests for chunks out of range",
+       Good + Request(UINT32_MAX) + Request(4), ClientAction::Close},
+      {"announced chunks out of range", Good + Have, ClientAction::Close},
+      {"a piece of a chunk out of range", Good + Piece + "abcd",
+       ClientAction::Close},
       {"a greeting, then an oversized piece", Good + LongPiece},
       {"a greeting, then random bytes", Good + RandomBytes},
       {"a second greeting", Good + Good},
   };
 }
 
-TEST_F(BadInput, BytesOnTheBulkPortHarmNothing) {
+TEST_F(BadInput, MalformedBytesOnTheBulkPortLeaveProcessesHealthy) {
   const auto Whole = outcomeOf([&] { return parseDigest(m_Digest); });
   ASSERT_TRUE(Whole);
-  for (const BytesRow &Row : bulkRows(*Whole)) {
+  for (const BytesCase &Row : bulkCases(*Whole)) {
     SCOPED_TRACE(Row.m_Name);
-    sendRow(agent().m_Bulk, Row);
-    expectUnharmed();
+    sendCase(agent().m_Bulk, Row);
+    expectHealthy();
   }
 }
 
-struct CallRow {
+struct CallCase {
   const char *m_Name;
   const char *m_Target;
   std::string m_Body;
   net::HttpHeader m_Header;
   unsigned m_Status;
-  const char *m_Contains; ///< part of the answer's body
+  const char *m_Contains; ///< part of the response body
 };
 
-const std::vector<CallRow> CallRows{
+const std::vector<CallCase> CallCases{
     {"unknown pool",
      "/v1/chat/completions",
      R"({"model":"none"})",
@@ -371,17 +378,17 @@
      {},
      400,
      "model"},
-    {"body that is no JSON", "/v1/chat/completions", "{", {}, 400, ""},
-    {"body that is no object", "/v1/chat/completions", "[]", {}, 400, ""},
+    {"body that is not JSON", "/v1/chat/completions", "{", {}, 400, ""},
+    {"body that is not an object", "/v1/chat/completions", "[]", {}, 400, ""},
     {"empty body", "/v1/chat/completions", "", {}, 400, ""},
-    {"model that is no text",
+    {"model that is not a string",
      "/v1/chat/completions",
      R"({"model":7})",
      {},
      400,
      "model"},
     {"unknown path", "/nothing", "", {}, 404, ""},
-    {"deadline that is no number",
+    {"deadline that is not a number",
      "/v1/chat/completions",
      R"({"model":"chat"})",
      {"X-Deadline-Ms", "soon"},
@@ -395,8 +402,8 @@
      "X-Priority"},
 };
 
-TEST_F(BadInput, RequestsGetAClearRefusalAndAreNotRun) {
-  for (const CallRow &Row : CallRows) {
+TEST_F(BadInput, InvalidRequestsAreRejectedAndNotRun) {
+  for (const CallCase &Row : CallCases) {
     SCOPED_TRACE(Row.m_Name);
     net::HttpHeaders Headers;
     if (!Row.m_Header.m_Name.empty())
@@ -409,22 +416,22 @@
       EXPECT_NE(Answer->m_Body.find(Row.m_Contains), std::string::npos)
           << Answer->m_Body;
     }
-    expectUnharmed();
+    expectHealthy();
   }
-  EXPECT_EQ(counterOf(m_Under.service(0).m_Address, "executions"), 0U);
+  EXPECT_EQ(counterOf(m_Cluster.service(0).m_Address, "executions"), 0U);
 }
 
-struct ApplyRow {
+struct ApplyCase {
   const char *m_Name;
   std::string m_File;
   int m_Exit;
-  std::vector<std::string> m_Says; ///< parts of what is printed
+  std::vector<std::string> m_ExpectedOutput; ///< parts of the output
 };
 
-const std::vector<ApplyRow> ApplyRows{
+const std::vector<ApplyCase> ApplyCases{
     {"no JSON", "{\n \"kind\": \"pools\"\n \"value\": 1}", 1, {"line 3"}},
     {"nothing", "", 1, {"not JSON"}},
-    {"no object", "7", 1, {"an object"}},
+    {"not an object", "7", 1, {"an object"}},
     {"unknown kind and no value",
      R"({"kind":"puddles"})",
      1,
@@ -440,34 +447,34 @@
          {"kind":"pools"}])",
      1,
      {"[1].value"}},
-    {"a name that is none",
+    {"an invalid name",
      R"({"kind":"pools","value":{"name":"a/../b?c","model":"m",
          "version":"1"}})",
      1,
      {"value.name: found \"a/../b?c\", expected at most 100 letters"}},
-    {"a name of the system's own objects",
+    {"a name reserved for internal objects",
      R"({"kind":"organisations","value":{"name":"~members"}})",
      1,
      {"value.name: found \"~members\""}},
     {"nested without end", std::string(100'000, '['), 1, {"not JSON"}},
 };
 
-TEST_F(BadInput, DeclarationsAreRefusedWithEveryFault) {
+TEST_F(BadInput, InvalidDeclarationsAreRejectedWithEveryProblem) {
   const ScratchDirectory Files;
-  for (const ApplyRow &Row : ApplyRows) {
+  for (const ApplyCase &Row : ApplyCases) {
     SCOPED_TRACE(Row.m_Name);
     const std::string Path = Files.write("objects.json", Row.m_File);
     Child Tool("deckpitchctl",
                {"apply", "--file=" + Path, "--entry=" + entry().m_Operator});
     EXPECT_EQ(Tool.waitForExit(), Row.m_Exit);
-    const std::string Said = Tool.output() + Tool.errors();
-    for (const std::string &Part : Row.m_Says)
-      EXPECT_NE(Said.find(Part), std::string::npos) << Part << " not in\n"
-                                                    << Said;
+    const std::string Output = Tool.output() + Tool.errors();
+    for (const std::string &Part : Row.m_ExpectedOutput)
+      EXPECT_NE(Output.find(Part), std::string::npos) << Part << " not in\n"
+                                                      << Output;
     const json::value Pools =
         jsonOf(call(entry().m_Operator, "GET", "/v1/resources/pools"));
     EXPECT_EQ(Pools.at("items").as_array().size(), 2U);
-    expectUnharmed();
+    expectHealthy();
   }
 }
 
--- a/test/bad-settings-test.cc
+++ b/test/bad-settings-test.cc
@@ -1,4 +1,4 @@
-// Wrong settings and starts of a real deckpitchd.
+// Tests that a real deckpitchd rejects invalid settings and failing starts.
 #include "cluster.h"
 
 #include <boost/json.hpp>
@@ -13,17 +13,17 @@
 
 namespace {
 
-struct SettingsRow {
+struct SettingsCase {
   const char *m_Name;
   std::string m_File;
-  std::vector<std::string> m_Says;
+  std::vector<std::string> m_ExpectedErrors;
 };
 
-void PrintTo(const SettingsRow &Row, std::ostream *Out) { *Out << Row.m_Name; }
+void PrintTo(const SettingsCase &Row, std::ostream *Out) { *Out << Row.m_Name; }
 
-class BadSettings : public testing::TestWithParam<SettingsRow> {};
+class BadSettings : public testing::TestWithParam<SettingsCase> {};
 
-TEST_P(BadSettings, AreRefusedWithFileKeyAndExpectation) {
+TEST_P(BadSettings, AreRejectedWithFileKeyAndExpectation) {
   const ScratchDirectory Files;
   const std::string Path = Files.write("bad.json", GetParam().m_File);
   for (const bool CheckOnly : {true, false}) {
@@ -33,12 +33,12 @@
     Child Daemon("deckpitchd", Arguments);
     EXPECT_EQ(Daemon.waitForExit(), 2);
     EXPECT_EQ(Daemon.output(), "");
-    const std::string Said = Daemon.errors();
-    for (const std::string &Part : GetParam().m_Says) {
+    const std::string Errors = Daemon.errors();
+    for (const std::string &Part : GetParam().m_ExpectedErrors) {
       std::string Line = Path + ": ";
       Line += Part;
-      EXPECT_NE(Said.find(Line), std::string::npos) << Line << " not in\n"
-                                                    << Said;
+      EXPECT_NE(Errors.find(Line), std::string::npos) << Line << " not in\n"
+                                                      << Errors;
     }
   }
 }
@@ -49,14 +49,15 @@
 INSTANTIATE_TEST_SUITE_P(
     Table, BadSettings,
     testing::Values(
-        SettingsRow{"NoJson", "{\n\"role\" entry}", {"line 2"}},
-        SettingsRow{"Nothing", "", {"line 1"}},
-        SettingsRow{"EveryFaultAtOnce",
-                    R"({"role":"entree","instance":"","threads":0,"colour":1})",
-                    {"role: found \"entree\", expected one of",
-                     "instance: ", "dataCentre: ", "threads: found 0, expected",
-                     "colour: found 1, expected no such key"}},
-        SettingsRow{
+        SettingsCase{"NoJson", "{\n\"role\" entry}", {"line 2"}},
+        SettingsCase{"Nothing", "", {"line 1"}},
+        SettingsCase{
+            "EveryFaultAtOnce",
+            R"({"role":"entree","instance":"","threads":0,"colour":1})",
+            {"role: found \"entree\", expected one of",
+             "instance: ", "dataCentre: ", "threads: found 0, expected",
+             "colour: found 1, expected no such key"}},
+        SettingsCase{
             "AddressesThatAreNone",
             EntryStart + R"("platform":"nowhere","entries":["1.2.3.4"],
                 "listen":{"control":"localhost:1","requests":"1.2.3.4:99999",
@@ -66,22 +67,22 @@
              "listen.control: found \"localhost:1\", expected \"ip:port\"",
              "listen.requests: found", "listen.bulk: found",
              "listen.operator: found"}},
-        SettingsRow{"AnAdapterThatIsNone",
-                    EntryStart + R"("platform":"store://1.2.3.4:5",
+        SettingsCase{"AnAdapterThatIsNone",
+                     EntryStart + R"("platform":"store://1.2.3.4:5",
                         "weights":{"origin":"tape://1"}})",
-                    {"platform: found \"store://1.2.3.4:5\", expected "
-                     "\"scheme://address\", the scheme one of http",
-                     "weights.origin: found \"tape://1\""}}),
+                     {"platform: found \"store://1.2.3.4:5\", expected "
+                      "\"scheme://address\", the scheme one of http",
+                      "weights.origin: found \"tape://1\""}}),
     [](const auto &Info) { return std::string(Info.param.m_Name); });
 
-TEST(BadStart, ASettingsFileThatIsNoneIsRefused) {
+TEST(BadStart, AMissingSettingsFileIsRejected) {
   Child Daemon("deckpitchd", {"--settings=/nowhere/none.json"});
   EXPECT_EQ(Daemon.waitForExit(), 2);
   EXPECT_NE(Daemon.errors().find("/nowhere/none.json: cannot be read"),
             std::string::npos);
 }
 
-TEST(BadStart, AnAddressThatIsTakenIsNamed) {
+TEST(BadStart, TheErrorNamesAnAddressInUse) {
   const ScratchDirectory Files;
   Child Platform("deckpitch-standins", {"--kind=platform"});
   const std::string Taken =
