--- a/test/declarations-fixture.cc
+++ b/test/declarations-fixture.cc
@@ -27,8 +27,8 @@
 
 } // namespace
 
-Written putPool(Cluster &To, const std::string &Version, std::uint64_t Expected,
-                std::size_t Entry) {
+PutResult putPool(Cluster &To, const std::string &Version,
+                  std::uint64_t Expected, std::size_t Entry) {
   net::HttpHeaders Headers;
   if (Expected == 0)
     Headers.add("If-None-Match", "*");
@@ -64,7 +64,7 @@
   return std::nullopt;
 }
 
-std::uint64_t History::inForceAt(const Node &Of) {
+std::uint64_t AppliedHistory::appliedRevision(const Node &Of) {
   const json::value Replica = moduleDump(Of, "declarations");
   if (!Replica.is_object() || !Replica.at("published").as_bool())
     return 0;
@@ -74,69 +74,71 @@
   return numberOf(Replica, "revision") >= Now ? Now : 0;
 }
 
-bool History::at(const std::vector<Node *> &Which, std::uint64_t Revision) {
+bool AppliedHistory::at(const std::vector<Node *> &Which,
+                        std::uint64_t Revision) {
   return eventually([&] {
     return std::all_of(Which.begin(), Which.end(), [&](const Node *Each) {
-      return inForceAt(*Each) >= Revision;
+      return appliedRevision(*Each) >= Revision;
     });
   });
 }
 
-bool History::everywhere(std::uint64_t Revision) {
+bool AppliedHistory::awaitEverywhere(std::uint64_t Revision) {
   return at(nodesOf(m_Of), Revision);
 }
 
-testing::AssertionResult History::check(const std::string &Instance,
-                                        const json::value &Told,
-                                        Newest &Objects) const {
+testing::AssertionResult AppliedHistory::check(const std::string &Instance,
+                                               const json::value &History,
+                                               LatestRevisions &Objects) const {
   std::uint64_t Order = 0;
   std::uint64_t Complete = 0;
-  Newest InThisLife;
-  for (const json::value &Each : Told.at("changes").as_array()) {
+  LatestRevisions InThisIncarnation;
+  for (const json::value &Each : History.at("changes").as_array()) {
     const std::string Object = Each.at("object").as_string().c_str();
     const std::uint64_t Revision = numberOf(Each, "revision");
     const auto Fail = [&](const char *Why) {
       return testing::AssertionFailure()
-             << Instance << ": " << Why << ": " << json::serialize(Told);
+             << Instance << ": " << Why << ": " << json::serialize(History);
     };
     if (numberOf(Each, "order") != ++Order)
       return Fail("the history has a gap");
     if (numberOf(Each, "complete") < Complete)
-      return Fail("became less complete");
+      return Fail("completeness decreased");
     Complete = numberOf(Each, "complete");
     if (Revision == 0)
-      continue; // deleted; it may only come back newer
-    if (Revision <= InThisLife[Object])
-      return Fail("an object went back");
+      continue; // Deleted; it may return only with a newer revision.
+    if (Revision <= InThisIncarnation[Object])
+      return Fail("an object returned to an older revision");
     const bool IsPool = Object.starts_with("pools/");
     if (IsPool && Revision < Objects[Object])
-      return Fail("a life applied less than the one before");
-    InThisLife[Object] = Revision;
+      return Fail("a restarted process applied an older revision than before");
+    InThisIncarnation[Object] = Revision;
   }
   if (Order == 0)
-    return testing::AssertionFailure() << Instance << " applied nothing";
-  for (const auto &[Object, Revision] : InThisLife)
+    return testing::AssertionFailure() << Instance << " applied no declaration";
+  for (const auto &[Object, Revision] : InThisIncarnation)
     Objects[Object] = std::max(Objects[Object], Revision);
   return testing::AssertionSuccess();
 }
 
-bool History::endLife(const Node &Of) {
+bool AppliedHistory::recordIncarnation(const Node &Of) {
   const json::value Replica = moduleDump(Of, "declarations");
   if (!Replica.is_object())
     return false;
-  const auto Checked =
-      check(Of.m_Instance, Replica.at("history"), m_Before[Of.m_Instance]);
+  const auto Checked = check(Of.m_Instance, Replica.at("history"),
+                             m_EarlierIncarnations[Of.m_Instance]);
   if (!Checked)
-    m_Faults.emplace_back(Checked.message());
+    m_Violations.emplace_back(Checked.message());
   return true;
 }
 
-testing::AssertionResult History::grew() {
+testing::AssertionResult AppliedHistory::isMonotonic() {
   for (const Node *Each : nodesOf(m_Of))
-    if (!endLife(*Each))
-      return testing::AssertionFailure() << Each->m_Instance << " is silent";
-  if (!m_Faults.empty())
-    return testing::AssertionFailure() << m_Faults.front();
+    if (!recordIncarnation(*Each))
+      return testing::AssertionFailure()
+             << Each->m_Instance << " did not answer";
+  if (!m_Violations.empty())
+    return testing::AssertionFailure() << m_Violations.front();
   return testing::AssertionSuccess();
 }
 
--- a/test/declarations-fixture.h
+++ b/test/declarations-fixture.h
@@ -1,4 +1,5 @@
-// What every process of a cluster applies, and the operators' side of changes.
+// Writes declarations to a cluster as an operator does, and checks what each
+// of its processes applies.
 #pragma once
 
 #include "cluster.h"
@@ -13,50 +14,54 @@
 
 namespace deckpitch::test {
 
-struct Written {
+struct PutResult {
   unsigned m_Status = 0;
   std::uint64_t m_Revision = 0;
 };
 
-/// Writes pool "chat" of model "m"; Expected 0 creates it.
-Written putPool(Cluster &To, const std::string &Version, std::uint64_t Expected,
-                std::size_t Entry = 0);
+/// Writes pool "chat" of model "m" if its revision is Expected; 0 creates it.
+PutResult putPool(Cluster &To, const std::string &Version,
+                  std::uint64_t Expected, std::size_t Entry = 0);
 
-/// One module's dump; null when the process does not answer.
+/// Returns the dump of one module; null if the process does not answer.
 boost::json::value moduleDump(const Node &Of, const char *Module);
 
-/// The entry that holds the lease of that module, if any one answers so.
+/// Returns an entry that reports holding the lease of the module, if any.
 std::optional<std::size_t> leaseHolder(Cluster &Of, const char *Module,
                                        std::optional<std::size_t> Except = {});
 
-/// Follows what every process applies. Each process keeps the history of its
-/// life; before one is killed, endLife() takes it over.
-class History {
+/// Checks the declarations that every process applies. A process keeps only the
+/// history of its current incarnation, so call recordIncarnation() before
+/// killing one.
+class AppliedHistory {
 public:
-  explicit History(Cluster &Of) : m_Of(Of) {}
+  explicit AppliedHistory(Cluster &Of) : m_Of(Of) {}
 
-  /// Waits until every process applies the pool at this revision, complete.
-  bool everywhere(std::uint64_t Revision);
-  /// The same for these processes only.
+  /// Waits until every process applies the pool at this revision or a later
+  /// one, from a complete state.
+  bool awaitEverywhere(std::uint64_t Revision);
+  /// Waits as awaitEverywhere() does, for these processes only.
   bool at(const std::vector<Node *> &Which, std::uint64_t Revision);
-  /// Takes over what this life applied; false when it does not answer.
-  bool endLife(const Node &Of);
-  /// Every process answers with a history that has no gap, in which each
-  /// object's revision grows at each step and completeness never shrinks; and
-  /// no life applied a pool below what the life before it had.
-  testing::AssertionResult grew();
+  /// Records the history of the current incarnation; returns false if the
+  /// process does not answer.
+  bool recordIncarnation(const Node &Of);
+  /// Checks that every process answers with a history without gaps, in which
+  /// the revision of each object grows at each step and completeness never
+  /// decreases, and that no incarnation applied an older revision of a pool
+  /// than the incarnation before it.
+  testing::AssertionResult isMonotonic();
 
 private:
-  using Newest = std::map<std::string, std::uint64_t>;
+  using LatestRevisions = std::map<std::string, std::uint64_t>;
 
-  static std::uint64_t inForceAt(const Node &Of);
+  static std::uint64_t appliedRevision(const Node &Of);
   testing::AssertionResult check(const std::string &Instance,
-                                 const boost::json::value &Told,
-                                 Newest &Objects) const;
+                                 const boost::json::value &History,
+                                 LatestRevisions &Objects) const;
 
   Cluster &m_Of;
-  std::map<std::string, Newest> m_Before; ///< by instance: earlier lives
-  std::vector<std::string> m_Faults;
+  std::map<std::string, LatestRevisions> m_EarlierIncarnations; ///< by instance
+  std::vector<std::string> m_Violations;
 };
 
 } // namespace deckpitch::test
