--- a/test/leaving-test.cc
+++ b/test/leaving-test.cc
@@ -1,5 +1,6 @@
-// A process that must leave, whichever notice reaches it: requests keep coming
-// all the while, none is cut off, and it gets no new one.
+// Tests that a leaving process completes its requests and gets no new ones
+// under continuous load, whichever notice it receives: the mark in the instance
+// list, SIGTERM or an operator's drain.
 #include "cluster.h"
 
 #include <boost/json.hpp>
@@ -22,8 +23,8 @@
 
 constexpr int LongTokens = 40;
 constexpr int ShortTokens = 2;
-constexpr int LongChats = 9;
-constexpr int LaterChats = 12;
+constexpr int LongChatCount = 9;
+constexpr int LaterRequestCount = 12;
 constexpr const char *SlowTokens = R"({"delayTokenMs":100})";
 
 std::string chat(const std::string &Entry, int Prompt, int Tokens) {
@@ -34,11 +35,11 @@
                           {"messages", json::array{Message}}};
   net::HttpHeaders Headers;
   Headers.add("X-Deadline-Ms", "30000");
-  const auto Got = call(Entry, "POST", "/v1/chat/completions",
-                        json::serialize(Body), Headers);
-  if (!Got || Got->m_Headers.find("X-Outcome") != "answered")
+  const auto Response = call(Entry, "POST", "/v1/chat/completions",
+                             json::serialize(Body), Headers);
+  if (!Response || Response->m_Headers.find("X-Outcome") != "answered")
     return {};
-  const json::value Answer = jsonOf(Got);
+  const json::value Answer = jsonOf(Response);
   return Answer.at("choices")
       .at(0)
       .at("message")
@@ -47,7 +48,8 @@
       .c_str();
 }
 
-/// Null when the process is gone or has no such module.
+/// Returns the dump of a module or of the whole process; null if the process
+/// does not answer.
 json::value dumpOf(const Node &Of, const char *Module = nullptr) {
   json::value Dump = jsonOf(call(Of.m_Operator, "GET", "/v1/dump"));
   if (!Dump.is_object() || !Module)
@@ -55,7 +57,7 @@
   return Dump.at("modules").at(Module);
 }
 
-std::string stateAt(const Node &Entry, const std::string &Instance) {
+std::string memberStateAt(const Node &Entry, const std::string &Instance) {
   const json::value Dump = dumpOf(Entry, "membership");
   if (!Dump.is_object())
     return {};
@@ -71,28 +73,29 @@
   return Found ? Found->as_object().size() : 0;
 }
 
-bool leaves(Node &Which) {
+bool isLeaving(Node &Which) {
   if (!Which.m_Process->running())
     return true;
   const json::value Dump = dumpOf(Which);
   return Dump.is_object() && Dump.at("leaving").as_bool();
 }
 
-bool mark(Cluster &Under, const std::string &Instance) {
+bool markAsLeaving(Cluster &TestCluster, const std::string &Instance) {
   const json::object Item{{"name", Instance},
                           {"address", "127.0.0.1:1"},
                           {"dataCentre", "lahore"},
                           {"state", "leaving"}};
   const json::object List{{"items", json::array{Item}}};
-  return statusOf(call(Under.platform(), "PUT", "/_standin/instances",
+  return statusOf(call(TestCluster.platform(), "PUT", "/_standin/instances",
                        json::serialize(List))) == 200;
 }
 
-/// Sends short requests to one entry after the other until it ends.
-class Traffic {
+/// Sends short requests to the entries in turn until stopped.
+class BackgroundTraffic {
 public:
-  explicit Traffic(Cluster &Under) : m_Thread([&Under, this] { run(Under); }) {}
-  ~Traffic() { stop(); }
+  explicit BackgroundTraffic(Cluster &TestCluster)
+      : m_Thread([&TestCluster, this] { run(TestCluster); }) {}
+  ~BackgroundTraffic() { stop(); }
 
   void stop() {
     m_Stop = true;
@@ -103,12 +106,12 @@
   int answered() const { return m_Answered; }
 
 private:
-  void run(Cluster &Under) {
+  void run(Cluster &TestCluster) {
     while (!m_Stop) {
       const std::size_t Entry =
-          static_cast<std::size_t>(m_Sent) % Under.entries();
+          static_cast<std::size_t>(m_Sent) % TestCluster.entries();
       const std::string Content =
-          chat(Under.entry(Entry).m_Requests, m_Sent, ShortTokens);
+          chat(TestCluster.entry(Entry).m_Requests, m_Sent, ShortTokens);
       ++m_Sent;
       m_Answered += Content.empty() ? 0 : 1;
     }
@@ -122,7 +125,7 @@
 
 struct Notice {
   const char *m_Name;
-  std::function<void(Cluster &)> m_Give; ///< to agent 0
+  std::function<void(Cluster &)> m_Deliver; ///< notifies agent 0
 };
 
 void PrintTo(const Notice &Row, std::ostream *Out) { *Out << Row.m_Name; }
@@ -134,7 +137,7 @@
     m_Cluster.addWeights("m@1", 1 << 18, 1 << 16);
     ASSERT_TRUE(m_Cluster.declarePool("chat", "m", "1"));
     ASSERT_TRUE(awaitUpstreams()) << m_Cluster.logs();
-    m_Expected = answers(LongChats);
+    m_Expected = longAnswers(LongChatCount);
     ASSERT_EQ(std::count(m_Expected.begin(), m_Expected.end(), ""), 0);
     for (std::size_t I = 0; I < m_Cluster.engines(); ++I)
       ASSERT_TRUE(setFaults(m_Cluster.engine(I).m_Address, SlowTokens));
@@ -147,7 +150,7 @@
     });
   }
 
-  std::vector<std::string> answers(int Count) {
+  std::vector<std::string> longAnswers(int Count) {
     std::vector<std::string> Out(static_cast<std::size_t>(Count));
     std::vector<std::thread> Callers;
     for (std::size_t I = 0; I < Out.size(); ++I)
@@ -164,14 +167,14 @@
     return counterOf(m_Cluster.engine(0).m_Address, Name);
   }
 
-  bool seenLeavingEverywhere() {
+  bool awaitLeavingEverywhere() {
     return eventually([&] {
       for (std::size_t I = 0; I < m_Cluster.entries(); ++I) {
-        const std::string State = stateAt(m_Cluster.entry(I), "agent-0");
+        const std::string State = memberStateAt(m_Cluster.entry(I), "agent-0");
         if (State != "leaving" && State != "gone")
           return false;
       }
-      return leaves(m_Cluster.agent(0));
+      return isLeaving(m_Cluster.agent(0));
     });
   }
 
@@ -179,94 +182,101 @@
   std::vector<std::string> m_Expected;
 };
 
-TEST_P(Leaving, FinishesWhatRunsAndTakesNothingNew) {
+TEST_P(Leaving, FinishesRunningRequestsAndAcceptsNoNewOnes) {
   const std::uint64_t Before = counter("requests");
   std::vector<std::string> Long;
-  std::thread Callers([&] { Long = answers(LongChats); });
-  Traffic Flowing(m_Cluster);
+  std::thread Callers([&] { Long = longAnswers(LongChatCount); });
+  BackgroundTraffic Traffic(m_Cluster);
   EXPECT_TRUE(eventually([&] { return counter("requests") > Before + 1; }));
-  GetParam().m_Give(m_Cluster);
-  EXPECT_TRUE(seenLeavingEverywhere()) << m_Cluster.logs();
-  const std::uint64_t Taken = counter("requests");
-  const int Sent = Flowing.sent();
-  EXPECT_TRUE(eventually([&] { return Flowing.sent() >= Sent + LaterChats; }));
-  EXPECT_EQ(counter("requests"), Taken);
-  Flowing.stop();
+  GetParam().m_Deliver(m_Cluster);
+  EXPECT_TRUE(awaitLeavingEverywhere()) << m_Cluster.logs();
+  const std::uint64_t Accepted = counter("requests");
+  const int Sent = Traffic.sent();
+  EXPECT_TRUE(
+      eventually([&] { return Traffic.sent() >= Sent + LaterRequestCount; }));
+  EXPECT_EQ(counter("requests"), Accepted);
+  Traffic.stop();
   Callers.join();
-  EXPECT_EQ(Flowing.answered(), Flowing.sent());
+  EXPECT_EQ(Traffic.answered(), Traffic.sent());
   EXPECT_EQ(Long, m_Expected);
   EXPECT_EQ(m_Cluster.agent(0).m_Process->waitForExit(), 0) << m_Cluster.logs();
   EXPECT_EQ(counter("completed"), counter("requests"));
   EXPECT_EQ(counter("stopped"), 0U);
 }
 
-void drain(Cluster &Under) {
-  EXPECT_EQ(statusOf(call(Under.agent(0).m_Operator, "POST", "/v1/drain")),
-            202U);
+void drain(Cluster &TestCluster) {
+  EXPECT_EQ(
+      statusOf(call(TestCluster.agent(0).m_Operator, "POST", "/v1/drain")),
+      202U);
 }
 
 INSTANTIATE_TEST_SUITE_P(
     Notices, Leaving,
-    testing::Values(
-        Notice{"MarkAlone",
-               [](Cluster &Under) { EXPECT_TRUE(mark(Under, "agent-0")); }},
-        Notice{"MarkAloneAndLate",
-               [](Cluster &Under) {
-                 EXPECT_TRUE(setFaults(Under.platform(),
-                                       R"({"instanceListLagMs":1500})"));
-                 EXPECT_TRUE(mark(Under, "agent-0"));
-               }},
-        Notice{
-            "SignalAlone",
-            [](Cluster &Under) { Under.agent(0).m_Process->signal(SIGTERM); }},
-        Notice{"SignalAloneWhileThePlatformIsDown",
-               [](Cluster &Under) {
-                 EXPECT_TRUE(setFaults(Under.platform(), R"({"outage":true})"));
-                 Under.agent(0).m_Process->signal(SIGTERM);
-               }},
-        Notice{"OperatorAlone", drain},
-        Notice{"AllThree",
-               [](Cluster &Under) {
-                 EXPECT_TRUE(mark(Under, "agent-0"));
-                 drain(Under);
-                 Under.agent(0).m_Process->signal(SIGTERM);
-               }}),
+    testing::Values(Notice{"MarkAlone",
+                           [](Cluster &TestCluster) {
+                             EXPECT_TRUE(markAsLeaving(TestCluster, "agent-0"));
+                           }},
+                    Notice{"MarkAloneAndLate",
+                           [](Cluster &TestCluster) {
+                             EXPECT_TRUE(
+                                 setFaults(TestCluster.platform(),
+                                           R"({"instanceListLagMs":1500})"));
+                             EXPECT_TRUE(markAsLeaving(TestCluster, "agent-0"));
+                           }},
+                    Notice{"SignalAlone",
+                           [](Cluster &TestCluster) {
+                             TestCluster.agent(0).m_Process->signal(SIGTERM);
+                           }},
+                    Notice{"SignalAloneWhileThePlatformIsDown",
+                           [](Cluster &TestCluster) {
+                             EXPECT_TRUE(setFaults(TestCluster.platform(),
+                                                   R"({"outage":true})"));
+                             TestCluster.agent(0).m_Process->signal(SIGTERM);
+                           }},
+                    Notice{"OperatorAlone", drain},
+                    Notice{"AllThree",
+                           [](Cluster &TestCluster) {
+                             EXPECT_TRUE(markAsLeaving(TestCluster, "agent-0"));
+                             drain(TestCluster);
+                             TestCluster.agent(0).m_Process->signal(SIGTERM);
+                           }}),
     [](const auto &Info) { return Info.param.m_Name; });
 
-TEST_F(Leaving, AMarkOfThePastLifeDoesNotDrainTheNext) {
-  ASSERT_TRUE(mark(m_Cluster, "agent-0"));
+TEST_F(Leaving, AMarkOfAnEarlierIncarnationDoesNotDrainTheNext) {
+  ASSERT_TRUE(markAsLeaving(m_Cluster, "agent-0"));
   ASSERT_EQ(m_Cluster.agent(0).m_Process->waitForExit(), 0);
   ASSERT_TRUE(m_Cluster.restart(m_Cluster.agent(0))) << m_Cluster.failure();
   ASSERT_TRUE(awaitUpstreams()) << m_Cluster.logs();
-  // The mark still stands: the list is read again, and nothing leaves.
+  // The list still has the mark; reading it again must not start a drain.
   const std::uint64_t Reads = counterOf(m_Cluster.platform(), "instances");
   ASSERT_TRUE(eventually([&] {
     return counterOf(m_Cluster.platform(), "instances") >= Reads + 2;
   }));
-  EXPECT_FALSE(leaves(m_Cluster.agent(0)));
-  EXPECT_EQ(stateAt(m_Cluster.entry(0), "agent-0"), "alive");
+  EXPECT_FALSE(isLeaving(m_Cluster.agent(0)));
+  EXPECT_EQ(memberStateAt(m_Cluster.entry(0), "agent-0"), "alive");
 }
 
-bool named(const Node &By, const Node &Which) {
+bool listsAddressOf(const Node &By, const Node &Which) {
   const json::value Answer =
       jsonOf(call(By.m_Requests, "GET", "/v1/addresses"));
   return json::serialize(Answer).find(Which.m_Requests) != std::string::npos;
 }
 
-/// One of the two follows the platform and reads its own mark.
+/// Of the two entries, only one watches the platform and reads its own mark.
 class LeavingEntry : public testing::TestWithParam<std::size_t> {};
 
 TEST_P(LeavingEntry, AMarkAloneDrainsIt) {
-  Cluster Under({.m_Entries = 2, .m_Engines = 1});
-  ASSERT_TRUE(Under.start()) << Under.failure();
-  Node &Which = Under.entry(GetParam());
-  const Node &Other = Under.entry(1 - GetParam());
-  ASSERT_TRUE(eventually([&] { return named(Other, Which); }));
-  ASSERT_TRUE(mark(Under, Which.m_Instance));
-  EXPECT_TRUE(eventually([&] { return leaves(Which); })) << Under.logs();
-  EXPECT_TRUE(eventually([&] { return !named(Other, Which); }));
-  EXPECT_EQ(Which.m_Process->waitForExit(), 0) << Under.logs();
-  EXPECT_FALSE(leaves(Under.entry(1 - GetParam())));
+  Cluster TestCluster({.m_Entries = 2, .m_Engines = 1});
+  ASSERT_TRUE(TestCluster.start()) << TestCluster.failure();
+  Node &Which = TestCluster.entry(GetParam());
+  const Node &Other = TestCluster.entry(1 - GetParam());
+  ASSERT_TRUE(eventually([&] { return listsAddressOf(Other, Which); }));
+  ASSERT_TRUE(markAsLeaving(TestCluster, Which.m_Instance));
+  EXPECT_TRUE(eventually([&] { return isLeaving(Which); }))
+      << TestCluster.logs();
+  EXPECT_TRUE(eventually([&] { return !listsAddressOf(Other, Which); }));
+  EXPECT_EQ(Which.m_Process->waitForExit(), 0) << TestCluster.logs();
+  EXPECT_FALSE(isLeaving(TestCluster.entry(1 - GetParam())));
 }
 
 INSTANTIATE_TEST_SUITE_P(Entries, LeavingEntry, testing::Values(0U, 1U));
