--- a/test/background-load.h
+++ b/test/background-load.h
@@ -1,4 +1,4 @@
-// Checked requests that flow beside a test.
+// Sends requests in the background of a test and checks their answers.
 #pragma once
 
 #include "cluster.h"
@@ -10,11 +10,12 @@
 
 namespace deckpitch::test {
 
-/// Checked requests from callers of all entries, until finish().
+/// Sends requests through all entries and checks the answers, until finish().
 class BackgroundLoad {
 public:
-  explicit BackgroundLoad(Cluster &Under, const std::string &Pool = "chat")
-      : m_Run(optionsOf(Under, Pool)) {
+  explicit BackgroundLoad(Cluster &TestCluster,
+                          const std::string &Pool = "chat")
+      : m_Run(optionsOf(TestCluster, Pool)) {
     m_Thread = std::thread([this] { m_Report = m_Run.run(); });
   }
   ~BackgroundLoad() { finish(); }
@@ -29,10 +30,11 @@
   }
 
 private:
-  static load::LoadOptions optionsOf(Cluster &Under, const std::string &Pool) {
+  static load::LoadOptions optionsOf(Cluster &TestCluster,
+                                     const std::string &Pool) {
     load::LoadOptions Out;
-    for (std::size_t I = 0; I < Under.entries(); ++I)
-      Out.m_Entries.push_back(Under.entry(I).m_Requests);
+    for (std::size_t I = 0; I < TestCluster.entries(); ++I)
+      Out.m_Entries.push_back(TestCluster.entry(I).m_Requests);
     Out.m_Model = Pool;
     Out.m_Callers = 4;
     Out.m_Requests = 100'000;
--- a/test/request-faults-test.cc
+++ b/test/request-faults-test.cc
@@ -1,5 +1,5 @@
-// Requests under faults of real processes: every answer is checked, and every
-// run of a non-idempotent call is counted at the service.
+// Tests requests under faults of real processes. Every answer is checked, and
+// every execution of a non-idempotent call is counted at the service.
 #include "cluster.h"
 #include "raw-connection.h"
 
@@ -19,39 +19,39 @@
 
 namespace {
 
-constexpr int Chats = 8;
-constexpr int Orders = 8;
+constexpr int ChatCount = 8;
+constexpr int OrderCount = 8;
 constexpr char ChatDeadline[] = "8000";
 constexpr char OrderDeadline[] = "2000";
 
-struct FaultRow {
+struct FaultCase {
   std::string m_Name;
-  std::function<void(Cluster &)> m_Break;
-  std::function<void(Cluster &)> m_Heal;
-  /// One engine is left whole, so every chat must be answered.
-  bool m_ChatsAnswered = true;
+  std::function<void(Cluster &)> m_Inject;
+  std::function<void(Cluster &)> m_Clear;
+  /// One engine stays healthy, so every chat must be answered.
+  bool m_EveryChatAnswered = true;
 };
 
-void PrintTo(const FaultRow &Row, std::ostream *Out) { *Out << Row.m_Name; }
+void PrintTo(const FaultCase &Row, std::ostream *Out) { *Out << Row.m_Name; }
 
-struct Told {
+struct CallResult {
   std::string m_Outcome;
   std::string m_Body;
 };
 
-Told send(const std::string &Entry, const std::string &Target,
-          const std::string &Body, const std::string &Key) {
+CallResult send(const std::string &Entry, const std::string &Target,
+                const std::string &Body, const std::string &Key) {
   net::HttpHeaders Headers;
   Headers.add("X-Deadline-Ms", Key.empty() ? ChatDeadline : OrderDeadline);
   if (!Key.empty())
     Headers.add("Idempotency-Key", Key);
-  const auto Got = call(Entry, "POST", Target, Body, Headers);
-  if (!Got)
-    return {"none", Got.error().m_Message};
-  return {std::string(Got->m_Headers.find("X-Outcome")), Got->m_Body};
+  const auto Response = call(Entry, "POST", Target, Body, Headers);
+  if (!Response)
+    return {"none", Response.error().m_Message};
+  return {std::string(Response->m_Headers.find("X-Outcome")), Response->m_Body};
 }
 
-Told chat(const std::string &Entry, int Prompt) {
+CallResult chat(const std::string &Entry, int Prompt) {
   const json::object Message{{"role", "user"},
                              {"content", "prompt " + std::to_string(Prompt)}};
   const json::object Body{{"model", "chat"},
@@ -60,7 +60,7 @@
   return send(Entry, "/v1/chat/completions", json::serialize(Body), "");
 }
 
-std::string contentOf(const Told &Answer) {
+std::string contentOf(const CallResult &Answer) {
   boost::system::error_code Ec;
   const json::value Body = json::parse(Answer.m_Body, Ec);
   if (Ec || !Body.is_object() || !Body.get_object().contains("choices"))
@@ -82,11 +82,11 @@
   return Found ? Found->as_object().size() : 0;
 }
 
-std::map<std::string, int> executions(Cluster &Under) {
+std::map<std::string, int> executions(Cluster &TestCluster) {
   std::map<std::string, int> Counts;
   for (std::size_t I = 0; I < 2; ++I) {
-    const json::value List =
-        jsonOf(call(Under.service(I).m_Address, "GET", "/_standin/executions"));
+    const json::value List = jsonOf(
+        call(TestCluster.service(I).m_Address, "GET", "/_standin/executions"));
     for (const json::value &Each : List.as_array())
       Counts[Each.at("key").as_string().c_str()] +=
           Each.at("count").to_number<int>();
@@ -94,7 +94,7 @@
   return Counts;
 }
 
-class RequestFaults : public testing::TestWithParam<FaultRow> {
+class RequestFaults : public testing::TestWithParam<FaultCase> {
 protected:
   void SetUp() override {
     ASSERT_TRUE(m_Cluster.start()) << m_Cluster.failure();
@@ -112,96 +112,104 @@
   Cluster m_Cluster{{.m_Entries = 2, .m_Engines = 2, .m_Services = 2}};
 };
 
-TEST_P(RequestFaults, EveryCallerIsToldTheTruth) {
+TEST_P(RequestFaults, ReportedOutcomesMatchTheExecutions) {
   const std::string Entry = m_Cluster.entry(0).m_Requests;
   std::vector<std::string> Expected;
-  for (int I = 0; I < Chats; ++I) {
+  for (int I = 0; I < ChatCount; ++I) {
     Expected.push_back(contentOf(chat(Entry, I)));
     ASSERT_FALSE(Expected.back().empty());
   }
-  GetParam().m_Break(m_Cluster);
-  for (int I = 0; I < Chats; ++I) {
-    const Told Answer = chat(Entry, I);
+  GetParam().m_Inject(m_Cluster);
+  for (int I = 0; I < ChatCount; ++I) {
+    const CallResult Answer = chat(Entry, I);
     if (Answer.m_Outcome == "answered")
       EXPECT_EQ(contentOf(Answer), Expected[I]);
     else
-      EXPECT_FALSE(GetParam().m_ChatsAnswered)
+      EXPECT_FALSE(GetParam().m_EveryChatAnswered)
           << Answer.m_Outcome << ": " << Answer.m_Body;
     EXPECT_NE(Answer.m_Outcome, "none") << Answer.m_Body;
   }
   std::map<std::string, std::string> Outcomes;
-  for (int I = 0; I < Orders; ++I) {
+  for (int I = 0; I < OrderCount; ++I) {
     const std::string Key = "order-" + std::to_string(I);
     Outcomes[Key] = send(Entry, "/orders", "{}", Key).m_Outcome;
     EXPECT_NE(Outcomes[Key], "none");
   }
-  if (GetParam().m_Heal)
-    GetParam().m_Heal(m_Cluster);
+  if (GetParam().m_Clear)
+    GetParam().m_Clear(m_Cluster);
   auto Runs = executions(m_Cluster);
   for (const auto &[Key, Outcome] : Outcomes) {
     EXPECT_LE(Runs[Key], Outcome == "not-run" ? 0 : 1) << Key << Outcome;
     EXPECT_GE(Runs[Key], Outcome == "answered" ? 1 : 0) << Key;
-    // Asked again on the other entry, it still runs at most once.
+    // Repeated through the other entry, the call still runs at most once.
     send(m_Cluster.entry(1).m_Requests, "/orders", "{}", Key);
   }
   for (const auto &[Key, Count] : executions(m_Cluster))
     EXPECT_LE(Count, 1) << Key;
 }
 
-void stopAgent(Cluster &Under, int Signal) {
-  Under.agent(0).m_Process->signal(Signal); // of an engine
-  Under.agent(2).m_Process->signal(Signal); // of a service
+void signalAgents(Cluster &TestCluster, int Signal) {
+  TestCluster.agent(0).m_Process->signal(Signal); // of an engine
+  TestCluster.agent(2).m_Process->signal(Signal); // of a service
 }
 
-void faultBoth(Cluster &Under, const std::string &Engine,
-               const std::string &Service) {
-  ASSERT_TRUE(setFaults(Under.engine(0).m_Address, Engine));
-  ASSERT_TRUE(setFaults(Under.service(0).m_Address, Service));
+void setUpstreamFaults(Cluster &TestCluster, const std::string &Engine,
+                       const std::string &Service) {
+  ASSERT_TRUE(setFaults(TestCluster.engine(0).m_Address, Engine));
+  ASSERT_TRUE(setFaults(TestCluster.service(0).m_Address, Service));
 }
 
 INSTANTIATE_TEST_SUITE_P(
     Rows, RequestFaults,
     testing::Values(
-        FaultRow{"NoFault", [](Cluster &) {}, nullptr},
-        FaultRow{"AgentsKilled",
-                 [](Cluster &Under) { stopAgent(Under, SIGKILL); }, nullptr},
-        FaultRow{"AgentsFrozen",
-                 [](Cluster &Under) { stopAgent(Under, SIGSTOP); },
-                 [](Cluster &Under) { stopAgent(Under, SIGCONT); }},
-        FaultRow{"UpstreamsHang",
-                 [](Cluster &Under) {
-                   faultBoth(Under, R"({"acceptAndHang":true})",
-                             R"({"acceptAndHang":true})");
-                 },
-                 [](Cluster &Under) { faultBoth(Under, "{}", "{}"); }},
-        FaultRow{"UpstreamsBreak",
-                 [](Cluster &Under) {
-                   faultBoth(Under, R"({"breakAfterTokens":5})",
-                             R"({"dieAfter":4})");
-                 },
-                 nullptr},
-        FaultRow{"PlatformDown",
-                 [](Cluster &Under) {
-                   ASSERT_TRUE(
-                       setFaults(Under.platform(), R"({"outage":true})"));
-                 },
-                 [](Cluster &Under) {
-                   ASSERT_TRUE(setFaults(Under.platform(), "{}"));
-                 }},
-        FaultRow{"AgentFrozenAndEngineBreaks",
-                 [](Cluster &Under) {
-                   stopAgent(Under, SIGSTOP);
-                   ASSERT_TRUE(setFaults(Under.engine(1).m_Address,
-                                         R"({"breakAfterTokens":3})"));
-                 },
-                 [](Cluster &Under) { stopAgent(Under, SIGCONT); }, false}),
+        FaultCase{"NoFault", [](Cluster &) {}, nullptr},
+        FaultCase{
+            "AgentsKilled",
+            [](Cluster &TestCluster) { signalAgents(TestCluster, SIGKILL); },
+            nullptr},
+        FaultCase{
+            "AgentsFrozen",
+            [](Cluster &TestCluster) { signalAgents(TestCluster, SIGSTOP); },
+            [](Cluster &TestCluster) { signalAgents(TestCluster, SIGCONT); }},
+        FaultCase{"UpstreamsHang",
+                  [](Cluster &TestCluster) {
+                    setUpstreamFaults(TestCluster, R"({"acceptAndHang":true})",
+                                      R"({"acceptAndHang":true})");
+                  },
+                  [](Cluster &TestCluster) {
+                    setUpstreamFaults(TestCluster, "{}", "{}");
+                  }},
+        FaultCase{"UpstreamsBreak",
+                  [](Cluster &TestCluster) {
+                    setUpstreamFaults(TestCluster, R"({"breakAfterTokens":5})",
+                                      R"({"dieAfter":4})");
+                  },
+                  nullptr},
+        FaultCase{"PlatformDown",
+                  [](Cluster &TestCluster) {
+                    ASSERT_TRUE(setFaults(TestCluster.platform(),
+                                          R"({"outage":true})"));
+                  },
+                  [](Cluster &TestCluster) {
+                    ASSERT_TRUE(setFaults(TestCluster.platform(), "{}"));
+                  }},
+        FaultCase{
+            "AgentFrozenAndEngineBreaks",
+            [](Cluster &TestCluster) {
+              signalAgents(TestCluster, SIGSTOP);
+              ASSERT_TRUE(setFaults(TestCluster.engine(1).m_Address,
+                                    R"({"breakAfterTokens":3})"));
+            },
+            [](Cluster &TestCluster) { signalAgents(TestCluster, SIGCONT); },
+            false}),
     [](const auto &Info) { return Info.param.m_Name; });
 
-/// A caller that misbehaves, and how its answer must begin.
+/// The bytes that a misbehaving caller sends and the expected start of the
+/// response.
 struct HostileCaller {
   const char *m_Name;
   std::string m_Sent;
-  const char *m_Answer;
+  const char *m_ExpectedStart;
 };
 
 std::string rawPost(const std::string &Body) {
@@ -233,11 +241,12 @@
        "HTTP/1.1 400 "}};
 }
 
-bool routesReady(Cluster &Under, std::size_t Engines, std::size_t Services) {
-  for (std::size_t I = 0; I < Under.entries(); ++I) {
+bool awaitRoutes(Cluster &TestCluster, std::size_t Engines,
+                 std::size_t Services) {
+  for (std::size_t I = 0; I < TestCluster.entries(); ++I) {
     const bool Ready = eventually([&] {
-      return upstreamsOf(Under.entry(I), "chat") == Engines &&
-             upstreamsOf(Under.entry(I), "orders") == Services;
+      return upstreamsOf(TestCluster.entry(I), "chat") == Engines &&
+             upstreamsOf(TestCluster.entry(I), "orders") == Services;
     });
     if (!Ready)
       return false;
@@ -245,15 +254,15 @@
   return true;
 }
 
-TEST(RequestCallers, HostileOnesAreToldSoAndHarmNobody) {
-  Cluster Under({.m_Entries = 1, .m_Engines = 2});
-  ASSERT_TRUE(Under.start()) << Under.failure();
-  Under.addWeights("m@1", 1 << 18, 1 << 16);
-  ASSERT_TRUE(Under.declarePool("chat", "m", "1"));
-  ASSERT_TRUE(routesReady(Under, 2, 0)) << Under.logs();
-  const std::string Entry = Under.entry(0).m_Requests;
+TEST(RequestCallers, HostileOnesAreRejectedAndAffectNoOthers) {
+  Cluster TestCluster({.m_Entries = 1, .m_Engines = 2});
+  ASSERT_TRUE(TestCluster.start()) << TestCluster.failure();
+  TestCluster.addWeights("m@1", 1 << 18, 1 << 16);
+  ASSERT_TRUE(TestCluster.declarePool("chat", "m", "1"));
+  ASSERT_TRUE(awaitRoutes(TestCluster, 2, 0)) << TestCluster.logs();
+  const std::string Entry = TestCluster.entry(0).m_Requests;
   std::vector<std::string> Expected;
-  for (int I = 0; I < Chats; ++I) {
+  for (int I = 0; I < ChatCount; ++I) {
     Expected.push_back(contentOf(chat(Entry, I)));
     ASSERT_FALSE(Expected.back().empty());
   }
@@ -263,12 +272,12 @@
     Open.push_back(std::make_unique<RawConnection>(Entry));
     Open.back()->send(Each.m_Sent);
   }
-  for (int I = 0; I < Chats; ++I)
+  for (int I = 0; I < ChatCount; ++I)
     EXPECT_EQ(contentOf(chat(Entry, I)), Expected[I]);
   for (std::size_t I = 0; I < Rows.size(); ++I)
-    EXPECT_EQ(Open[I]->readToEnd().rfind(Rows[I].m_Answer, 0), 0U)
+    EXPECT_EQ(Open[I]->readToEnd().rfind(Rows[I].m_ExpectedStart, 0), 0U)
         << Rows[I].m_Name;
-  for (int I = 0; I < Chats; ++I)
+  for (int I = 0; I < ChatCount; ++I)
     EXPECT_EQ(contentOf(chat(Entry, I)), Expected[I]);
 }
 
@@ -282,25 +291,25 @@
   return Names;
 }
 
-TEST(RequestEntries, TheLastOneLeftServesAll) {
-  Cluster Under({.m_Entries = 3, .m_Engines = 2, .m_Services = 2});
-  ASSERT_TRUE(Under.start()) << Under.failure();
-  Under.addWeights("m@1", 1 << 18, 1 << 16);
-  ASSERT_TRUE(Under.declarePool("chat", "m", "1"));
-  ASSERT_TRUE(Under.declareServicePool("/orders"));
-  ASSERT_TRUE(routesReady(Under, 2, 2)) << Under.logs();
-  Node &Last = Under.entry(2);
+TEST(RequestEntries, TheLastRemainingOneServesAllRequests) {
+  Cluster TestCluster({.m_Entries = 3, .m_Engines = 2, .m_Services = 2});
+  ASSERT_TRUE(TestCluster.start()) << TestCluster.failure();
+  TestCluster.addWeights("m@1", 1 << 18, 1 << 16);
+  ASSERT_TRUE(TestCluster.declarePool("chat", "m", "1"));
+  ASSERT_TRUE(TestCluster.declareServicePool("/orders"));
+  ASSERT_TRUE(awaitRoutes(TestCluster, 2, 2)) << TestCluster.logs();
+  Node &Last = TestCluster.entry(2);
   ASSERT_TRUE(eventually([&] { return addressesOf(Last).size() == 3; }));
   std::vector<std::string> Expected;
-  Expected.reserve(Chats);
-  for (int I = 0; I < Chats; ++I)
-    Expected.push_back(contentOf(chat(Under.entry(0).m_Requests, I)));
-  ASSERT_EQ(
-      send(Under.entry(0).m_Requests, "/orders", "{}", "before").m_Outcome,
-      "answered");
-  Under.entry(0).m_Process->signal(SIGKILL);
-  Under.entry(1).m_Process->signal(SIGKILL);
-  for (int I = 0; I < Chats; ++I) {
+  Expected.reserve(ChatCount);
+  for (int I = 0; I < ChatCount; ++I)
+    Expected.push_back(contentOf(chat(TestCluster.entry(0).m_Requests, I)));
+  ASSERT_EQ(send(TestCluster.entry(0).m_Requests, "/orders", "{}", "before")
+                .m_Outcome,
+            "answered");
+  TestCluster.entry(0).m_Process->signal(SIGKILL);
+  TestCluster.entry(1).m_Process->signal(SIGKILL);
+  for (int I = 0; I < ChatCount; ++I) {
     EXPECT_EQ(contentOf(chat(Last.m_Requests, I)), Expected[I]);
     const std::string Key = "after-" + std::to_string(I);
     EXPECT_EQ(send(Last.m_Requests, "/orders", "{}", Key).m_Outcome,
@@ -308,36 +317,37 @@
   }
   EXPECT_EQ(send(Last.m_Requests, "/orders", "{}", "before").m_Outcome,
             "answered");
-  for (const auto &[Key, Count] : executions(Under))
+  for (const auto &[Key, Count] : executions(TestCluster))
     EXPECT_EQ(Count, 1) << Key;
   EXPECT_TRUE(eventually([&] {
     return addressesOf(Last) == std::vector{Last.m_Requests};
-  })) << Under.logs();
+  })) << TestCluster.logs();
 }
 
-TEST(RequestEntries, OneKilledAfterSendingAKeyedCallNeverMakesItRunTwice) {
-  Cluster Under({.m_Entries = 2, .m_Engines = 0, .m_Services = 2});
-  ASSERT_TRUE(Under.start()) << Under.failure();
-  ASSERT_TRUE(Under.declareServicePool("/orders"));
-  ASSERT_TRUE(routesReady(Under, 0, 2)) << Under.logs();
+TEST(RequestEntries, AKeyedCallForwardedByAKilledOneRunsOnce) {
+  Cluster TestCluster({.m_Entries = 2, .m_Engines = 0, .m_Services = 2});
+  ASSERT_TRUE(TestCluster.start()) << TestCluster.failure();
+  ASSERT_TRUE(TestCluster.declareServicePool("/orders"));
+  ASSERT_TRUE(awaitRoutes(TestCluster, 0, 2)) << TestCluster.logs();
   for (std::size_t I = 0; I < 2; ++I)
-    ASSERT_TRUE(setFaults(Under.service(I).m_Address, R"({"delayMs":1000})"));
+    ASSERT_TRUE(
+        setFaults(TestCluster.service(I).m_Address, R"({"delayMs":1000})"));
   const auto Sent = [&] {
-    return counterOf(Under.service(0).m_Address, "calls") +
-           counterOf(Under.service(1).m_Address, "calls");
+    return counterOf(TestCluster.service(0).m_Address, "calls") +
+           counterOf(TestCluster.service(1).m_Address, "calls");
   };
-  const std::string Killed = Under.entry(0).m_Requests;
+  const std::string Killed = TestCluster.entry(0).m_Requests;
   std::vector<std::thread> Callers;
-  Callers.reserve(Orders);
-  for (int I = 0; I < Orders; ++I)
+  Callers.reserve(OrderCount);
+  for (int I = 0; I < OrderCount; ++I)
     Callers.emplace_back([Killed, Key = "order-" + std::to_string(I)] {
       send(Killed, "/orders", "{}", Key);
     });
-  EXPECT_TRUE(eventually([&] { return Sent() == Orders; }));
-  Under.entry(0).m_Process->signal(SIGKILL);
-  const std::string Other = Under.entry(1).m_Requests;
-  for (int I = 0; I < Orders; ++I) {
-    const Told Answer =
+  EXPECT_TRUE(eventually([&] { return Sent() == OrderCount; }));
+  TestCluster.entry(0).m_Process->signal(SIGKILL);
+  const std::string Other = TestCluster.entry(1).m_Requests;
+  for (int I = 0; I < OrderCount; ++I) {
+    const CallResult Answer =
         send(Other, "/orders", "{}", "order-" + std::to_string(I));
     EXPECT_TRUE(Answer.m_Outcome == "unknown" || Answer.m_Outcome == "answered")
         << Answer.m_Outcome << ": " << Answer.m_Body;
@@ -345,33 +355,34 @@
   for (std::thread &Each : Callers)
     Each.join();
   EXPECT_TRUE(eventually([&] {
-    return counterOf(Under.service(0).m_Address, "executions") +
-               counterOf(Under.service(1).m_Address, "executions") >=
-           Orders;
+    return counterOf(TestCluster.service(0).m_Address, "executions") +
+               counterOf(TestCluster.service(1).m_Address, "executions") >=
+           OrderCount;
   }));
-  for (int I = 0; I < Orders; ++I)
+  for (int I = 0; I < OrderCount; ++I)
     EXPECT_TRUE(eventually([&] {
       return send(Other, "/orders", "{}", "order-" + std::to_string(I))
                  .m_Outcome == "answered";
     }));
-  const auto Runs = executions(Under);
-  EXPECT_EQ(Runs.size(), static_cast<std::size_t>(Orders));
+  const auto Runs = executions(TestCluster);
+  EXPECT_EQ(Runs.size(), static_cast<std::size_t>(OrderCount));
   for (const auto &[Key, Count] : Runs)
     EXPECT_EQ(Count, 1) << Key;
 }
 
-TEST(RequestDrain, ALeavingAgentFinishesItsStreamsAndTakesNothingNew) {
-  Cluster Under({.m_Entries = 1, .m_Engines = 2});
-  ASSERT_TRUE(Under.start()) << Under.failure();
-  Under.addWeights("m@1", 1 << 18, 1 << 16);
-  ASSERT_TRUE(Under.declarePool("chat", "m", "1"));
+TEST(RequestDrain, ALeavingAgentFinishesItsStreamsAndAcceptsNoRequests) {
+  Cluster TestCluster({.m_Entries = 1, .m_Engines = 2});
+  ASSERT_TRUE(TestCluster.start()) << TestCluster.failure();
+  TestCluster.addWeights("m@1", 1 << 18, 1 << 16);
+  ASSERT_TRUE(TestCluster.declarePool("chat", "m", "1"));
   ASSERT_TRUE(eventually([&] {
-    return upstreamsOf(Under.entry(0), "chat") == 2;
-  })) << Under.logs();
-  Under.agent(0).m_Process->signal(SIGTERM);
-  for (int I = 0; I < Chats; ++I)
-    EXPECT_EQ(chat(Under.entry(0).m_Requests, I).m_Outcome, "answered");
-  EXPECT_EQ(Under.agent(0).m_Process->waitForExit(), 0) << Under.logs();
+    return upstreamsOf(TestCluster.entry(0), "chat") == 2;
+  })) << TestCluster.logs();
+  TestCluster.agent(0).m_Process->signal(SIGTERM);
+  for (int I = 0; I < ChatCount; ++I)
+    EXPECT_EQ(chat(TestCluster.entry(0).m_Requests, I).m_Outcome, "answered");
+  EXPECT_EQ(TestCluster.agent(0).m_Process->waitForExit(), 0)
+      << TestCluster.logs();
 }
 
 } // namespace
--- a/test/system-faults-test.cc
+++ b/test/system-faults-test.cc
@@ -1,4 +1,4 @@
-// Faults of whole processes while a version is brought out and requests flow.
+// Injects faults of whole processes during a rollout under load.
 #include "background-load.h"
 #include "cluster.h"
 
@@ -22,17 +22,18 @@
 constexpr std::uint32_t ChunkBytes = 256 * 1024;
 constexpr std::uint64_t AnswersDuringOutage = 50;
 
-struct FaultRow {
+struct FaultCase {
   std::string m_Name;
-  /// Runs just after the second version is accepted; heals what it broke.
+  /// Runs just after the second version is accepted, and clears its own fault.
   std::function<void(Cluster &)> m_Fault;
-  /// Callers connected to an entry that dies see a broken answer.
-  bool m_MayBreak = false;
+  /// Callers connected to an entry that dies may get a broken answer.
+  bool m_MayBreakAnswers = false;
 };
 
-void PrintTo(const FaultRow &Row, std::ostream *Out) { *Out << Row.m_Name; }
+void PrintTo(const FaultCase &Row, std::ostream *Out) { *Out << Row.m_Name; }
 
-/// True when the entry sees every wanted instance ready on these weights.
+/// Returns whether the entry reports every wanted instance ready with these
+/// weights.
 bool seesReady(const Node &Entry, std::string_view Weights) {
   const json::value Status =
       jsonOf(call(Entry.m_Operator, "GET", "/v1/status"));
@@ -45,74 +46,77 @@
   return false;
 }
 
-bool allReady(Cluster &Under, const std::string &Weights) {
-  for (std::size_t I = 0; I < Under.entries(); ++I)
-    if (!seesReady(Under.entry(I), Weights))
+bool allReady(Cluster &TestCluster, const std::string &Weights) {
+  for (std::size_t I = 0; I < TestCluster.entries(); ++I)
+    if (!seesReady(TestCluster.entry(I), Weights))
       return false;
-  return Under.enginesServing(Weights) == Engines;
+  return TestCluster.enginesServing(Weights) == Engines;
 }
 
-std::uint64_t answered(Cluster &Under) {
+std::uint64_t answeredCount(Cluster &TestCluster) {
   std::uint64_t Sum = 0;
-  for (std::size_t I = 0; I < Under.engines(); ++I)
-    Sum += counterOf(Under.engine(I).m_Address, "completed");
+  for (std::size_t I = 0; I < TestCluster.engines(); ++I)
+    Sum += counterOf(TestCluster.engine(I).m_Address, "completed");
   return Sum;
 }
 
-void awaitMoreAnswers(Cluster &Under) {
-  const std::uint64_t Before = answered(Under);
+void awaitMoreAnswers(Cluster &TestCluster) {
+  const std::uint64_t Before = answeredCount(TestCluster);
   EXPECT_TRUE(eventually([&] {
-    return answered(Under) >= Before + AnswersDuringOutage;
-  })) << "requests stopped";
+    return answeredCount(TestCluster) >= Before + AnswersDuringOutage;
+  })) << "no further requests were answered";
 }
 
-void awaitOtherEngines(Cluster &Under) {
-  EXPECT_TRUE(
-      eventually([&] { return Under.enginesServing("m@2") >= Engines - 1; }));
+void awaitOtherEngines(Cluster &TestCluster) {
+  EXPECT_TRUE(eventually(
+      [&] { return TestCluster.enginesServing("m@2") >= Engines - 1; }));
 }
 
 template <typename Process>
-void killAndRestart(Cluster &Under, Process &Which) {
+void killAndRestart(Cluster &TestCluster, Process &Which) {
   Which.m_Process->signal(SIGKILL);
   Which.m_Process->waitForExit();
-  EXPECT_TRUE(Under.restart(Which)) << Under.failure();
+  EXPECT_TRUE(TestCluster.restart(Which)) << TestCluster.failure();
 }
 
 template <typename Process, typename Condition>
-void freezeUntil(Process &Which, Condition &&Reached) {
+void pauseUntil(Process &Which, Condition &&Reached) {
   Which.m_Process->signal(SIGSTOP);
   Reached();
   Which.m_Process->signal(SIGCONT);
 }
 
-void platformFault(Cluster &Under, const std::string &Json) {
-  EXPECT_TRUE(setFaults(Under.platform(), Json));
-  awaitMoreAnswers(Under);
-  EXPECT_TRUE(setFaults(Under.platform(), "{}"));
+void platformFault(Cluster &TestCluster, const std::string &Json) {
+  EXPECT_TRUE(setFaults(TestCluster.platform(), Json));
+  awaitMoreAnswers(TestCluster);
+  EXPECT_TRUE(setFaults(TestCluster.platform(), "{}"));
 }
 
-class SystemFaults : public testing::TestWithParam<FaultRow> {};
-
-TEST_P(SystemFaults, EndOnTheDeclaredVersionWithWholeAnswers) {
-  Cluster Under({.m_Entries = 2, .m_Engines = Engines});
-  ASSERT_TRUE(Under.start()) << Under.failure();
-  ASSERT_FALSE(Under.addWeights("m@1", ContentSize, ChunkBytes, 1).empty());
-  ASSERT_FALSE(Under.addWeights("m@2", ContentSize, ChunkBytes, 2).empty());
-  ASSERT_TRUE(eventually([&] { return Under.declarePool("chat", "m", "1"); }));
-  ASSERT_TRUE(eventually([&] { return allReady(Under, "m@1"); }))
-      << Under.logs();
-  BackgroundLoad Load(Under);
-  awaitMoreAnswers(Under);
-  ASSERT_TRUE(Under.declarePool("chat", "m", "2"));
-  GetParam().m_Fault(Under);
-  EXPECT_TRUE(eventually([&] { return allReady(Under, "m@2"); }))
-      << Under.logs();
-  awaitMoreAnswers(Under);
+class SystemFaults : public testing::TestWithParam<FaultCase> {};
+
+TEST_P(SystemFaults, EndOnTheDeclaredVersionWithCompleteAnswers) {
+  Cluster TestCluster({.m_Entries = 2, .m_Engines = Engines});
+  ASSERT_TRUE(TestCluster.start()) << TestCluster.failure();
+  ASSERT_FALSE(
+      TestCluster.addWeights("m@1", ContentSize, ChunkBytes, 1).empty());
+  ASSERT_FALSE(
+      TestCluster.addWeights("m@2", ContentSize, ChunkBytes, 2).empty());
+  ASSERT_TRUE(
+      eventually([&] { return TestCluster.declarePool("chat", "m", "1"); }));
+  ASSERT_TRUE(eventually([&] { return allReady(TestCluster, "m@1"); }))
+      << TestCluster.logs();
+  BackgroundLoad Load(TestCluster);
+  awaitMoreAnswers(TestCluster);
+  ASSERT_TRUE(TestCluster.declarePool("chat", "m", "2"));
+  GetParam().m_Fault(TestCluster);
+  EXPECT_TRUE(eventually([&] { return allReady(TestCluster, "m@2"); }))
+      << TestCluster.logs();
+  awaitMoreAnswers(TestCluster);
   const LoadReport &Report = Load.finish();
   const std::string Text = json::serialize(load::toJson(Report));
   EXPECT_EQ(Report.count(Verdict::Mixed), 0U) << Text;
   EXPECT_EQ(Report.count(Verdict::Unknown), 0U) << Text;
-  if (!GetParam().m_MayBreak) {
+  if (!GetParam().m_MayBreakAnswers) {
     EXPECT_EQ(Report.count(Verdict::Broken), 0U) << Text;
   }
   EXPECT_GT(Report.count(Verdict::Whole), 2 * AnswersDuringOutage) << Text;
@@ -121,81 +125,88 @@
 INSTANTIATE_TEST_SUITE_P(
     Rows, SystemFaults,
     testing::Values(
-        FaultRow{"None", [](Cluster &) {}},
-        FaultRow{"EntryKilled",
-                 [](Cluster &Under) { killAndRestart(Under, Under.entry(1)); },
-                 true},
-        FaultRow{"EntryFrozenAcrossTheRollout",
-                 [](Cluster &Under) {
-                   freezeUntil(Under.entry(1),
-                               [&] { awaitOtherEngines(Under); });
-                 },
-                 true},
-        FaultRow{"AgentKilled",
-                 [](Cluster &Under) { killAndRestart(Under, Under.agent(0)); }},
-        FaultRow{"AgentFrozenUntilOthersServe",
-                 [](Cluster &Under) {
-                   freezeUntil(Under.agent(0),
-                               [&] { awaitOtherEngines(Under); });
-                 }},
-        FaultRow{
-            "EngineKilled",
-            [](Cluster &Under) { killAndRestart(Under, Under.engine(0)); }},
-        FaultRow{"EngineFrozenUntilOthersServe",
-                 [](Cluster &Under) {
-                   freezeUntil(Under.engine(0),
-                               [&] { awaitOtherEngines(Under); });
-                 }},
-        FaultRow{
-            "PlatformRefusesAcrossTheRollout",
-            [](Cluster &Under) { platformFault(Under, R"({"outage":true})"); }},
-        FaultRow{"PlatformHangsAcrossTheRollout",
-                 [](Cluster &Under) {
-                   platformFault(Under, R"({"outage":"hang"})");
-                 }},
-        FaultRow{"PlatformLosesAnswers",
-                 [](Cluster &Under) {
-                   platformFault(Under, R"({"loseAnswers":3})");
-                 }},
-        FaultRow{"OriginCorruptsAChunk",
-                 [](Cluster &Under) {
-                   EXPECT_TRUE(
-                       setFaults(Under.origin(), R"({"corruptChunks":[3]})"));
-                   awaitMoreAnswers(Under);
-                   EXPECT_TRUE(setFaults(Under.origin(), "{}"));
-                 }},
-        FaultRow{"OriginStalls",
-                 [](Cluster &Under) {
-                   EXPECT_TRUE(setFaults(Under.origin(),
-                                         R"({"stallAfterBytes":100000})"));
-                   awaitMoreAnswers(Under);
-                   EXPECT_TRUE(setFaults(Under.origin(), "{}"));
-                 }},
-        FaultRow{"AgentKilledDuringAPlatformOutage",
-                 [](Cluster &Under) {
-                   EXPECT_TRUE(
-                       setFaults(Under.platform(), R"({"outage":true})"));
-                   killAndRestart(Under, Under.agent(1));
-                   awaitMoreAnswers(Under);
-                   EXPECT_TRUE(setFaults(Under.platform(), "{}"));
-                 }},
-        FaultRow{"EntryAndEngineKilled",
-                 [](Cluster &Under) {
-                   Under.engine(2).m_Process->signal(SIGKILL);
-                   killAndRestart(Under, Under.entry(0));
-                   killAndRestart(Under, Under.engine(2));
-                 },
-                 true},
-        FaultRow{"VersionChangesAgainDuringTheCopy",
-                 [](Cluster &Under) {
-                   EXPECT_TRUE(Under.declarePool("chat", "m", "1"));
-                   EXPECT_TRUE(Under.declarePool("chat", "m", "2", 1));
-                 }}),
-    [](const testing::TestParamInfo<FaultRow> &Info) {
+        FaultCase{"None", [](Cluster &) {}},
+        FaultCase{"EntryKilled",
+                  [](Cluster &TestCluster) {
+                    killAndRestart(TestCluster, TestCluster.entry(1));
+                  },
+                  true},
+        FaultCase{"EntryFrozenAcrossTheRollout",
+                  [](Cluster &TestCluster) {
+                    pauseUntil(TestCluster.entry(1),
+                               [&] { awaitOtherEngines(TestCluster); });
+                  },
+                  true},
+        FaultCase{"AgentKilled",
+                  [](Cluster &TestCluster) {
+                    killAndRestart(TestCluster, TestCluster.agent(0));
+                  }},
+        FaultCase{"AgentFrozenUntilOthersServe",
+                  [](Cluster &TestCluster) {
+                    pauseUntil(TestCluster.agent(0),
+                               [&] { awaitOtherEngines(TestCluster); });
+                  }},
+        FaultCase{"EngineKilled",
+                  [](Cluster &TestCluster) {
+                    killAndRestart(TestCluster, TestCluster.engine(0));
+                  }},
+        FaultCase{"EngineFrozenUntilOthersServe",
+                  [](Cluster &TestCluster) {
+                    pauseUntil(TestCluster.engine(0),
+                               [&] { awaitOtherEngines(TestCluster); });
+                  }},
+        FaultCase{"PlatformRefusesAcrossTheRollout",
+                  [](Cluster &TestCluster) {
+                    platformFault(TestCluster, R"({"outage":true})");
+                  }},
+        FaultCase{"PlatformHangsAcrossTheRollout",
+                  [](Cluster &TestCluster) {
+                    platformFault(TestCluster, R"({"outage":"hang"})");
+                  }},
+        FaultCase{"PlatformLosesAnswers",
+                  [](Cluster &TestCluster) {
+                    platformFault(TestCluster, R"({"loseAnswers":3})");
+                  }},
+        FaultCase{"OriginCorruptsAChunk",
+                  [](Cluster &TestCluster) {
+                    EXPECT_TRUE(setFaults(TestCluster.origin(),
+                                          R"({"corruptChunks":[3]})"));
+                    awaitMoreAnswers(TestCluster);
+                    EXPECT_TRUE(setFaults(TestCluster.origin(), "{}"));
+                  }},
+        FaultCase{"OriginStalls",
+                  [](Cluster &TestCluster) {
+                    EXPECT_TRUE(setFaults(TestCluster.origin(),
+                                          R"({"stallAfterBytes":100000})"));
+                    awaitMoreAnswers(TestCluster);
+                    EXPECT_TRUE(setFaults(TestCluster.origin(), "{}"));
+                  }},
+        FaultCase{"AgentKilledDuringAPlatformOutage",
+                  [](Cluster &TestCluster) {
+                    EXPECT_TRUE(setFaults(TestCluster.platform(),
+                                          R"({"outage":true})"));
+                    killAndRestart(TestCluster, TestCluster.agent(1));
+                    awaitMoreAnswers(TestCluster);
+                    EXPECT_TRUE(setFaults(TestCluster.platform(), "{}"));
+                  }},
+        FaultCase{"EntryAndEngineKilled",
+                  [](Cluster &TestCluster) {
+                    TestCluster.engine(2).m_Process->signal(SIGKILL);
+                    killAndRestart(TestCluster, TestCluster.entry(0));
+                    killAndRestart(TestCluster, TestCluster.engine(2));
+                  },
+                  true},
+        FaultCase{"VersionChangesAgainDuringTheCopy",
+                  [](Cluster &TestCluster) {
+                    EXPECT_TRUE(TestCluster.declarePool("chat", "m", "1"));
+                    EXPECT_TRUE(TestCluster.declarePool("chat", "m", "2", 1));
+                  }}),
+    [](const testing::TestParamInfo<FaultCase> &Info) {
       return Info.param.m_Name;
     });
 
-/// Instances of the pool that the entry sees ready.
+/// Returns the number of ready instances of the pool as the entry reports it;
+/// -1 if it reports none.
 std::int64_t readyAt(const Node &Entry) {
   const json::value Status =
       jsonOf(call(Entry.m_Operator, "GET", "/v1/status"));
@@ -207,21 +218,24 @@
   return -1;
 }
 
-// Far below the limit of any request, so that few are lost at it.
-TEST(FrozenEngine, LeavesThePoolUntilItAnswersAgain) {
-  constexpr std::chrono::seconds Noticed{15};
-  Cluster Under({.m_Entries = 1, .m_Engines = 2});
-  ASSERT_TRUE(Under.start()) << Under.failure();
-  ASSERT_FALSE(Under.addWeights("m@1", ContentSize, ChunkBytes, 1).empty());
-  ASSERT_TRUE(eventually([&] { return Under.declarePool("chat", "m", "1"); }));
-  ASSERT_TRUE(eventually([&] { return readyAt(Under.entry(0)) == 2; }))
-      << Under.logs();
-  Under.engine(0).m_Process->signal(SIGSTOP);
-  EXPECT_TRUE(
-      eventually([&] { return readyAt(Under.entry(0)) == 1; }, Noticed));
-  Under.engine(0).m_Process->signal(SIGCONT);
-  EXPECT_TRUE(eventually([&] { return readyAt(Under.entry(0)) == 2; }))
-      << Under.logs();
+// The limit on detection is far below the timeout of any request, so that few
+// requests are lost at the paused engine.
+TEST(PausedEngine, LeavesThePoolUntilItAnswersAgain) {
+  constexpr std::chrono::seconds DetectionTimeout{15};
+  Cluster TestCluster({.m_Entries = 1, .m_Engines = 2});
+  ASSERT_TRUE(TestCluster.start()) << TestCluster.failure();
+  ASSERT_FALSE(
+      TestCluster.addWeights("m@1", ContentSize, ChunkBytes, 1).empty());
+  ASSERT_TRUE(
+      eventually([&] { return TestCluster.declarePool("chat", "m", "1"); }));
+  ASSERT_TRUE(eventually([&] { return readyAt(TestCluster.entry(0)) == 2; }))
+      << TestCluster.logs();
+  TestCluster.engine(0).m_Process->signal(SIGSTOP);
+  EXPECT_TRUE(eventually([&] { return readyAt(TestCluster.entry(0)) == 1; },
+                         DetectionTimeout));
+  TestCluster.engine(0).m_Process->signal(SIGCONT);
+  EXPECT_TRUE(eventually([&] { return readyAt(TestCluster.entry(0)) == 2; }))
+      << TestCluster.logs();
 }
 
 } // namespace
