--- a/test/lying-peer.cc
+++ b/test/lying-peer.cc
@@ -21,15 +21,15 @@
 namespace asio = boost::asio;
 
 constexpr std::size_t PrefixBytes = 4;
-constexpr std::uint32_t MostGrants = 200; ///< of one call
-constexpr std::chrono::milliseconds GrantPause{20};
+constexpr std::uint32_t MaxGrants = 200; ///< per connection
+constexpr std::chrono::milliseconds GrantInterval{20};
 
 class LyingPeer {
 public:
   explicit LyingPeer(const Manifest &Of) : m_Manifest(Of) {}
 
-  /// True when a chunk was asked for, and sent corrupted.
-  bool lie(const std::string &Bulk) {
+  /// Returns whether a chunk was requested and sent corrupted.
+  bool sendCorruptChunk(const std::string &Bulk) {
     boost::system::error_code Ec;
     m_Socket.connect(*net::parseEndpoint(Bulk), Ec);
     if (Ec || !sendHello())
@@ -37,13 +37,13 @@
     std::uint32_t Granted = 0;
     while (const auto Frame = read()) {
       if (Frame->has_request())
-        return sendGarbage(Frame->request().chunk());
-      const bool Invites = Frame->has_hello() || Frame->has_decline();
-      if (!Invites)
+        return sendCorruptPiece(Frame->request().chunk());
+      const bool MayGrant = Frame->has_hello() || Frame->has_decline();
+      if (!MayGrant)
         continue;
       if (Frame->has_decline())
-        std::this_thread::sleep_for(GrantPause);
-      if (++Granted > MostGrants || !sendGrant())
+        std::this_thread::sleep_for(GrantInterval);
+      if (++Granted > MaxGrants || !sendGrant())
         return false;
     }
     return false;
@@ -82,7 +82,7 @@
     return send(Frame);
   }
 
-  bool sendGarbage(std::uint32_t Chunk) {
+  bool sendCorruptPiece(std::uint32_t Chunk) {
     const std::uint32_t Length = m_Manifest.chunkLength(Chunk);
     wire::BulkFrame Frame;
     Frame.mutable_piece()->set_chunk(Chunk);
@@ -90,7 +90,7 @@
     if (!send(Frame, std::string(Length, 'x')))
       return false;
     while (read())
-      ; // until the agent hangs up
+      ; // Until the agent disconnects.
     return true;
   }
 
@@ -125,12 +125,12 @@
 
 } // namespace
 
-std::uint32_t tellLies(const std::string &Bulk, const Manifest &Of,
-                       std::uint32_t Calls) {
-  std::uint32_t Told = 0;
+std::uint32_t sendCorruptChunks(const std::string &Bulk, const Manifest &Of,
+                                std::uint32_t Calls) {
+  std::uint32_t Requested = 0;
   for (std::uint32_t I = 0; I < Calls; ++I)
-    Told += LyingPeer(Of).lie(Bulk);
-  return Told;
+    Requested += LyingPeer(Of).sendCorruptChunk(Bulk);
+  return Requested;
 }
 
 } // namespace deckpitch::test
--- a/test/lying-peer.h
+++ b/test/lying-peer.h
@@ -1,4 +1,4 @@
-// A peer that offers every chunk and sends other bytes than were asked for.
+// A peer that offers every chunk and sends corrupt bytes.
 #pragma once
 
 #include "deckpitch/manifest.h"
@@ -8,10 +8,11 @@
 
 namespace deckpitch::test {
 
-/// Calls an agent's bulk port so many times, as one and the same peer; each
-/// call lasts until one chunk was asked for and sent, or the agent hung up.
-/// Gives the number of chunks that the agent asked for.
-std::uint32_t tellLies(const std::string &Bulk, const Manifest &Of,
-                       std::uint32_t Calls);
+/// Connects to the bulk port of an agent the given number of times, always as
+/// the same peer. A connection lasts until one chunk was requested and sent
+/// corrupted, or the agent disconnected. Returns the number of chunks that the
+/// agent requested.
+std::uint32_t sendCorruptChunks(const std::string &Bulk, const Manifest &Of,
+                                std::uint32_t Calls);
 
 } // namespace deckpitch::test
