--- a/support/standins/chunk-pool.h
+++ b/support/standins/chunk-pool.h
@@ -1,4 +1,5 @@
-// Chunks that several engine stand-ins of one process hold, kept once.
+// Shares equal chunks among the engine stand-ins of one process, so that each
+// is kept in memory once.
 #pragma once
 
 #include "deckpitch/manifest.h"
@@ -15,9 +16,12 @@
   std::shared_ptr<const std::string> m_Bytes;
 };
 
-/// Used by the loops of all engines, hence the lock.
+/// Deduplicates chunks by digest. Thread-safe, as the engines run on event
+/// loops of their own.
 class ChunkPool {
 public:
+  /// Returns the pooled copy of the bytes; it lives as long as any engine holds
+  /// it.
   StagedChunk add(std::string Bytes) {
     StagedChunk Out;
     Out.m_Digest = digestOf(
--- a/support/standins/content.h
+++ b/support/standins/content.h
@@ -1,4 +1,4 @@
-// Content of weights as a pure function of seed and offset.
+// Generates the content of weights as a pure function of seed and offset.
 #pragma once
 
 #include <cstdint>
@@ -9,7 +9,7 @@
 
 namespace detail {
 
-/// The finalizer of SplitMix64 over a counter.
+/// Returns the word at an index of the SplitMix64 sequence of the seed.
 inline std::uint64_t wordAt(std::uint64_t Seed, std::uint64_t Index) {
   std::uint64_t Z = Seed + (Index + 1) * 0x9E3779B97F4A7C15ULL;
   Z = (Z ^ (Z >> 30)) * 0xBF58476D1CE4E5B9ULL;
@@ -19,7 +19,7 @@
 
 } // namespace detail
 
-/// Bytes [Offset, Offset + Length) of the content with that seed.
+/// Returns the bytes [Offset, Offset + Length) of the content of the seed.
 inline std::string contentBytes(std::uint64_t Seed, std::uint64_t Offset,
                                 std::size_t Length) {
   constexpr std::size_t WordBytes = sizeof(std::uint64_t);
--- a/support/standins/engine-cache.cc
+++ b/support/standins/engine-cache.cc
@@ -6,26 +6,26 @@
 
 namespace {
 
-constexpr std::size_t CachedPrefixes = 64;
+constexpr std::size_t MaxCachedPrefixes = 64;
 constexpr std::size_t MaxCacheEvents = 1024;
 
 } // namespace
 
 void PrefixCache::use(std::uint64_t Prefix) {
-  const auto [At, Added] = m_Held.insert(Prefix);
+  const auto [At, Added] = m_Prefixes.insert(Prefix);
   if (!Added)
     return;
-  m_Order.push_back(Prefix);
+  m_InsertionOrder.push_back(Prefix);
   publish(true, Prefix);
-  if (m_Order.size() <= CachedPrefixes)
+  if (m_InsertionOrder.size() <= MaxCachedPrefixes)
     return;
-  publish(false, m_Order.front());
-  m_Held.erase(m_Order.front());
-  m_Order.pop_front();
+  publish(false, m_InsertionOrder.front());
+  m_Prefixes.erase(m_InsertionOrder.front());
+  m_InsertionOrder.pop_front();
 }
 
-json::object PrefixCache::since(std::uint64_t Since,
-                                SteadyClock::time_point Until) const {
+json::object PrefixCache::eventsSince(std::uint64_t Since,
+                                      SteadyClock::time_point Until) const {
   json::array Events;
   std::uint64_t Next = Since;
   for (const CacheEvent &Each : m_Events) {
@@ -40,8 +40,8 @@
   return {{"next", Next}, {"events", std::move(Events)}};
 }
 
-double PrefixCache::used() const {
-  return static_cast<double>(m_Order.size()) / CachedPrefixes;
+double PrefixCache::occupancy() const {
+  return static_cast<double>(m_InsertionOrder.size()) / MaxCachedPrefixes;
 }
 
 void PrefixCache::publish(bool Stored, std::uint64_t Prefix) {
--- a/support/standins/engine-cache.h
+++ b/support/standins/engine-cache.h
@@ -1,4 +1,4 @@
-// The prefixes in a model engine's cache, and what it tells of them.
+// Prefix cache of the engine stand-in and the events that report its changes.
 #pragma once
 
 #include <boost/json.hpp>
@@ -19,21 +19,25 @@
   std::uint64_t m_Prefix = 0;
 };
 
-/// Holds the prefixes used last; events about them may be asked for late.
+/// Holds a bounded number of prefixes and evicts the one that was added first.
+/// Keeps a bounded history of events, so that they can be reported with a
+/// delay.
 class PrefixCache {
 public:
+  /// Adds the prefix unless it is cached already.
   void use(std::uint64_t Prefix);
-  /// Those not before Since that came until then.
-  boost::json::object since(std::uint64_t Since,
-                            SteadyClock::time_point Until) const;
-  /// The share of the cache in use.
-  double used() const;
+  /// Returns the events with a sequence number of at least Since that were
+  /// published no later than Until.
+  boost::json::object eventsSince(std::uint64_t Since,
+                                  SteadyClock::time_point Until) const;
+  /// Returns the fraction of the capacity that is occupied.
+  double occupancy() const;
 
 private:
   void publish(bool Stored, std::uint64_t Prefix);
 
-  std::set<std::uint64_t> m_Held;
-  std::deque<std::uint64_t> m_Order;
+  std::set<std::uint64_t> m_Prefixes;
+  std::deque<std::uint64_t> m_InsertionOrder;
   std::deque<CacheEvent> m_Events;
   std::uint64_t m_Next = 1;
 };
--- a/support/standins/engine-queue.cc
+++ b/support/standins/engine-queue.cc
@@ -6,22 +6,22 @@
 
 namespace asio = boost::asio;
 
-asio::awaitable<bool> EngineQueue::enter(EngineRequestPtr Request) {
+asio::awaitable<bool> EngineQueue::acquireSlot(EngineRequestPtr Request) {
   if (m_Running < m_Limit) {
     ++m_Running;
     co_return true;
   }
-  const std::pair Turn(Request->m_Priority, m_NextTurn++);
-  m_Waiting.emplace(Turn, Request);
+  const std::pair QueueKey(Request->m_Priority, m_NextSequence++);
+  m_Waiting.emplace(QueueKey, Request);
   while (!Request->m_Admitted && !Request->m_Stopped) {
     Request->m_Timer.expires_at(asio::steady_timer::time_point::max());
     co_await Request->m_Timer.async_wait(asio::as_tuple(asio::use_awaitable));
   }
-  m_Waiting.erase(Turn);
+  m_Waiting.erase(QueueKey);
   co_return Request->m_Admitted;
 }
 
-void EngineQueue::leave() {
+void EngineQueue::releaseSlot() {
   if (m_Waiting.empty()) {
     --m_Running;
     return;
--- a/support/standins/engine-queue.h
+++ b/support/standins/engine-queue.h
@@ -1,5 +1,5 @@
-// Requests of an engine stand-in: those that run, and those that wait in the
-// order of their priority.
+// Priority queue of the engine stand-in: bounds the number of running requests
+// and orders the waiting ones.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -13,36 +13,37 @@
 
 namespace deckpitch::standins {
 
-/// One request from its arrival to its end.
+/// State of one request from its arrival to its completion.
 struct EngineRequest {
   explicit EngineRequest(const boost::asio::any_io_executor &Executor)
       : m_Timer(Executor) {}
 
-  /// Ends the request wherever it waits.
+  /// Stops the request and cancels any wait on its timer.
   void stop() {
     m_Stopped = true;
     m_Timer.cancel();
   }
 
   std::string m_Id;
-  std::uint32_t m_Priority = 0; ///< 0 first
+  std::uint32_t m_Priority = 0; ///< 0 is the most urgent
   boost::asio::steady_timer m_Timer;
   bool m_Admitted = false;
   bool m_Stopped = false;
-  std::string m_Weights; ///< bound when it starts to run
+  std::string m_Weights; ///< set when the request starts to run
   std::string m_Digest;
 };
 
 using EngineRequestPtr = std::shared_ptr<EngineRequest>;
 
+/// Admits requests while fewer than the limit are running.
 class EngineQueue {
 public:
   explicit EngineQueue(std::uint32_t Limit) : m_Limit(Limit) {}
 
-  /// Waits for its turn; false when the request was stopped before it. After
-  /// true comes leave().
-  boost::asio::awaitable<bool> enter(EngineRequestPtr Request);
-  void leave();
+  /// Waits until the request may run. Returns false if it was stopped before;
+  /// after true, call releaseSlot().
+  boost::asio::awaitable<bool> acquireSlot(EngineRequestPtr Request);
+  void releaseSlot();
 
   std::uint32_t running() const { return m_Running; }
   std::size_t waiting() const { return m_Waiting.size(); }
@@ -51,8 +52,8 @@
 private:
   std::uint32_t m_Limit;
   std::uint32_t m_Running = 0;
-  std::uint64_t m_NextTurn = 0;
-  /// By priority, then by arrival.
+  std::uint64_t m_NextSequence = 0;
+  /// Keyed by priority, then by order of arrival.
   std::map<std::pair<std::uint32_t, std::uint64_t>, EngineRequestPtr> m_Waiting;
 };
 
--- a/support/standins/engine-weights.cc
+++ b/support/standins/engine-weights.cc
@@ -13,7 +13,7 @@
 namespace {
 
 constexpr std::string_view StagingPrefix = "/v1/engine/staging/";
-constexpr std::string_view ChunksPart = "/chunks/";
+constexpr std::string_view ChunksSegment = "/chunks/";
 
 std::string textOf(const json::object &Object, std::string_view Key) {
   const json::value *Found = Object.if_contains(Key);
@@ -31,7 +31,7 @@
 
 net::HttpResponse EngineWeights::staging(net::HttpRequest Request) {
   const std::string Rest = below(Request.path(), StagingPrefix);
-  const std::size_t At = Rest.find(ChunksPart);
+  const std::size_t At = Rest.find(ChunksSegment);
   const std::string Weights = Rest.substr(0, At);
   if (At == std::string::npos) {
     if (Request.m_Method != "DELETE")
@@ -40,7 +40,7 @@
     return noContent();
   }
   std::uint32_t Index = 0;
-  const char *First = Rest.data() + At + ChunksPart.size();
+  const char *First = Rest.data() + At + ChunksSegment.size();
   const char *End = Rest.data() + Rest.size();
   const auto Read = std::from_chars(First, End, Index);
   if (Read.ec != std::errc() || Read.ptr != End)
@@ -57,12 +57,12 @@
                                           std::string Bytes) {
   auto &Chunks = m_Staging[Weights];
   const auto Before = Chunks.find(Index);
-  const std::uint64_t Freed =
+  const std::uint64_t ReplacedBytes =
       Before == Chunks.end() ? 0 : Before->second.m_Bytes->size();
-  const std::uint64_t After = m_StagedBytes - Freed + Bytes.size();
-  if (m_StagingLimit != 0 && After > m_StagingLimit)
+  const std::uint64_t BytesAfter = m_StagedBytes - ReplacedBytes + Bytes.size();
+  if (m_StagingLimitBytes != 0 && BytesAfter > m_StagingLimitBytes)
     return errorResponse(507, "staging is full");
-  m_StagedBytes = After;
+  m_StagedBytes = BytesAfter;
   Chunks.insert_or_assign(Index, ChunkPool::instance().add(std::move(Bytes)));
   return noContent();
 }
--- a/support/standins/engine.cc
+++ b/support/standins/engine.cc
@@ -1,4 +1,5 @@
-// A model engine: streams tokens that follow from prompt and weights.
+// Model engine stand-in. The tokens of an answer are a pure function of the
+// prompt and the digest of the active weights.
 #include "standins/engine-cache.h"
 #include "standins/engine-queue.h"
 #include "standins/engine-weights.h"
@@ -23,9 +24,9 @@
 
 constexpr milliseconds HangPoll{20};
 constexpr std::size_t MaxKvEntries = 256;
-constexpr std::size_t MaxOrdersKept = 1'000;
+constexpr std::size_t MaxLoggedOrders = 1'000;
 constexpr std::uint32_t MaxTokens = 100'000;
-constexpr std::size_t EngineBodyBytes = std::size_t{64} * 1024 * 1024;
+constexpr std::size_t MaxBodyBytes = std::size_t{64} * 1024 * 1024;
 
 struct EngineFaults {
   milliseconds m_DelayFirstToken{0};
@@ -33,11 +34,11 @@
   bool m_AcceptAndHang = false;
   std::uint64_t m_BreakAfterTokens = 0; ///< 0: never
   bool m_StrictFencing = false;
-  milliseconds m_LoadLag{0};
+  milliseconds m_LoadLag{0}; ///< delay of reported load and cache events
   bool m_LoseOrderAnswers = false;
 };
 
-struct Completion {
+struct CompletionRequest {
   std::string m_Model;
   std::string m_Prompt;
   std::uint32_t m_Tokens = DefaultMaxTokens;
@@ -45,7 +46,7 @@
   bool m_Stream = false;
 };
 
-struct LoadSeen {
+struct LoadSample {
   SteadyClock::time_point m_Taken;
   json::object m_Load;
 };
@@ -60,8 +61,8 @@
   return Ec ? Default : std::min(Number, MaxTokens);
 }
 
-Completion parseCompletion(const json::object &Body) {
-  Completion Out;
+CompletionRequest parseCompletion(const json::object &Body) {
+  CompletionRequest Out;
   if (const json::value *Model = Body.if_contains("model"))
     Out.m_Model = Model->is_string() ? Model->get_string().c_str() : "";
   Out.m_Prompt = promptOf(Body);
@@ -80,7 +81,7 @@
 
 net::HttpLimits engineLimits() {
   net::HttpLimits Limits;
-  Limits.m_BodyBytes = EngineBodyBytes;
+  Limits.m_BodyBytes = MaxBodyBytes;
   return Limits;
 }
 
@@ -102,7 +103,7 @@
                               net::HttpResponder &Answer) override {
     const std::string Path(Request.path());
     if (Path == "/v1/chat/completions" && Request.m_Method == "POST") {
-      co_await complete(std::move(Request), Answer);
+      co_await handleCompletion(std::move(Request), Answer);
       co_return;
     }
     if (Path == "/v1/engine/orders" && Request.m_Method == "POST") {
@@ -159,8 +160,8 @@
       return status();
     if (Path == "/v1/engine/cache-events" && IsGet)
       return jsonObjectResponse(
-          200, m_Cache.since(parseNumber(Request.query("since")),
-                             SteadyClock::now() - m_Faults.m_LoadLag));
+          200, m_Cache.eventsSince(parseNumber(Request.query("since")),
+                                   SteadyClock::now() - m_Faults.m_LoadLag));
     if (Path.starts_with("/v1/requests/") && Request.m_Method == "DELETE")
       return cancel(below(Path, "/v1/requests/"));
     if (Path.starts_with("/v1/kv/"))
@@ -172,23 +173,23 @@
     json::object Out{{"role", m_Role}, {"fence", m_Fence}};
     m_Weights.describe(Out);
     const auto Now = SteadyClock::now();
-    if (m_LoadSeen.m_Load.empty() ||
-        Now - m_LoadSeen.m_Taken >= m_Faults.m_LoadLag)
-      m_LoadSeen = {Now,
-                    {{"running", m_Queue.running()},
-                     {"waiting", m_Queue.waiting()},
-                     {"limit", m_Queue.limit()},
-                     {"cacheUsed", m_Cache.used()}}};
-    Out["load"] = m_LoadSeen.m_Load;
+    if (m_LoadSample.m_Load.empty() ||
+        Now - m_LoadSample.m_Taken >= m_Faults.m_LoadLag)
+      m_LoadSample = {Now,
+                      {{"running", m_Queue.running()},
+                       {"waiting", m_Queue.waiting()},
+                       {"limit", m_Queue.limit()},
+                       {"cacheUsed", m_Cache.occupancy()}}};
+    Out["load"] = m_LoadSample.m_Load;
     return jsonObjectResponse(200, Out);
   }
 
-  /// The order with the status that it got, for tests.
+  /// Logs an order and the status of its response for /_standin/orders.
   void recordOrder(const net::HttpRequest &Request,
                    const net::HttpResponse &Response) {
     m_OrderLog.push_back(json::object{{"order", parseBody(Request.m_Body)},
                                       {"status", Response.m_Status}});
-    if (m_OrderLog.size() > MaxOrdersKept)
+    if (m_OrderLog.size() > MaxLoggedOrders)
       m_OrderLog.pop_front();
   }
 
@@ -225,7 +226,7 @@
   }
 
   net::HttpResponse cancel(const std::string &Id) {
-    const auto [First, Last] = m_ById.equal_range(Id);
+    const auto [First, Last] = m_RequestsById.equal_range(Id);
     for (auto Each = First; Each != Last; ++Each)
       Each->second->stop();
     net::HttpResponse Response;
@@ -251,14 +252,14 @@
   }
 
   bool isRunning(const std::string &Weights) const {
-    for (const auto &[Id, Each] : m_ById)
+    for (const auto &[Id, Each] : m_RequestsById)
       if (Each->m_Weights == Weights)
         return true;
     return false;
   }
 
-  asio::awaitable<void> complete(net::HttpRequest Request,
-                                 net::HttpResponder &Answer) {
+  asio::awaitable<void> handleCompletion(net::HttpRequest Request,
+                                         net::HttpResponder &Answer) {
     ++m_Requests;
     const json::value Value = parseBody(Request.m_Body);
     const json::object *Body = asObject(Value);
@@ -277,26 +278,27 @@
         parseNumber(Request.m_Headers.find("X-Priority")));
     std::weak_ptr<EngineRequest> Weak = Self;
     Answer.onGone([Weak] {
-      if (const auto Left = Weak.lock())
-        Left->stop();
+      if (const auto Locked = Weak.lock())
+        Locked->stop();
     });
     while (m_Faults.m_AcceptAndHang && !Self->m_Stopped)
       co_await pause(HangPoll);
-    const auto Place = m_ById.emplace(Self->m_Id, Self);
-    const bool Admitted = co_await m_Queue.enter(Self);
+    const auto Registration = m_RequestsById.emplace(Self->m_Id, Self);
+    const bool Admitted = co_await m_Queue.acquireSlot(Self);
     if (Admitted) {
       co_await run(Self, Request, parseCompletion(*Body), Answer);
-      m_Queue.leave();
+      m_Queue.releaseSlot();
     } else {
       ++m_Stopped;
       Answer.abort();
     }
-    m_ById.erase(Place);
+    m_RequestsById.erase(Registration);
   }
 
-  /// Binds the request to the weights that serve now, and answers it.
+  /// Binds the request to the active weights and answers it.
   asio::awaitable<void> run(EngineRequestPtr Self,
-                            const net::HttpRequest &Request, Completion Wanted,
+                            const net::HttpRequest &Request,
+                            CompletionRequest Wanted,
                             net::HttpResponder &Answer) {
     const std::string_view Expected = Request.m_Headers.find("X-Weights");
     if (m_Weights.active().empty()) {
@@ -304,7 +306,7 @@
       co_return;
     }
     if (!Expected.empty() && Expected != m_Weights.active()) {
-      co_await Answer.send(otherWeights());
+      co_await Answer.send(weightsMismatchResponse());
       co_return;
     }
     Self->m_Weights = m_Weights.active();
@@ -314,10 +316,11 @@
     if (Wanted.m_Stream)
       co_await stream(Self, Wanted, Answer);
     else
-      co_await sendWhole(Self, Wanted, Answer);
+      co_await sendCompletion(Self, Wanted, Answer);
   }
 
-  /// Waits for a token's time; false when the request is to end.
+  /// Waits for the configured delay of a token. Returns false if the request
+  /// was stopped.
   asio::awaitable<bool> awaitToken(EngineRequestPtr Self, bool IsFirst) {
     const milliseconds Delay =
         IsFirst ? m_Faults.m_DelayFirstToken : m_Faults.m_DelayToken;
@@ -328,7 +331,7 @@
     co_return !Self->m_Stopped;
   }
 
-  void remember(const EngineRequest &Self, std::uint32_t Next) {
+  void storeKvState(const EngineRequest &Self, std::uint32_t Next) {
     if (Self.m_Id.empty())
       return;
     if (m_Kv.size() >= MaxKvEntries)
@@ -340,25 +343,26 @@
                                                 {"next", Next}}));
   }
 
-  asio::awaitable<void> stream(EngineRequestPtr Self, const Completion &Wanted,
+  asio::awaitable<void> stream(EngineRequestPtr Self,
+                               const CompletionRequest &Wanted,
                                net::HttpResponder &Answer) {
     net::HttpHeaders Headers;
     Headers.add("Content-Type", "text/event-stream");
     Headers.add("X-Weights", Self->m_Weights);
     std::uint32_t Sent = 0;
     for (std::uint32_t I = Wanted.m_From; I < Wanted.m_Tokens; ++I) {
-      const bool Goes = co_await awaitToken(Self, Sent == 0);
-      const bool Breaks = m_Faults.m_BreakAfterTokens != 0 &&
-                          Sent >= m_Faults.m_BreakAfterTokens;
-      if (!Goes || Breaks) {
-        ++(Goes ? m_Broken : m_Stopped);
+      const bool Continues = co_await awaitToken(Self, Sent == 0);
+      const bool BreakInjected = m_Faults.m_BreakAfterTokens != 0 &&
+                                 Sent >= m_Faults.m_BreakAfterTokens;
+      if (!Continues || BreakInjected) {
+        ++(Continues ? m_Broken : m_Stopped);
         co_return Answer.abort();
       }
       if (Sent == 0 && !co_await Answer.begin(200, Headers))
         co_return;
       if (!co_await Answer.write(event(*Self, Wanted, I)))
         co_return;
-      remember(*Self, I + 1);
+      storeKvState(*Self, I + 1);
       ++m_Tokens;
       ++Sent;
     }
@@ -370,7 +374,8 @@
       ++m_Completed;
   }
 
-  static std::string event(const EngineRequest &Self, const Completion &Wanted,
+  static std::string event(const EngineRequest &Self,
+                           const CompletionRequest &Wanted,
                            std::uint32_t Index) {
     const std::string Token = tokenAt(Wanted.m_Prompt, Self.m_Digest, Index);
     const bool IsLast = Index + 1 == Wanted.m_Tokens;
@@ -386,14 +391,14 @@
     return "data: " + json::serialize(Event) + "\n\n";
   }
 
-  net::HttpResponse otherWeights() const {
+  net::HttpResponse weightsMismatchResponse() const {
     return jsonObjectResponse(409, {{"error", "other weights are active"},
                                     {"weights", m_Weights.active()}});
   }
 
-  static net::HttpResponse wholeAnswer(const EngineRequest &Self,
-                                       const Completion &Wanted,
-                                       std::string Text) {
+  static net::HttpResponse completionResponse(const EngineRequest &Self,
+                                              const CompletionRequest &Wanted,
+                                              std::string Text) {
     const json::object Choice{
         {"index", 0},
         {"message",
@@ -410,21 +415,21 @@
                                     {"usage", Usage}});
   }
 
-  asio::awaitable<void> sendWhole(EngineRequestPtr Self,
-                                  const Completion &Wanted,
-                                  net::HttpResponder &Answer) {
+  asio::awaitable<void> sendCompletion(EngineRequestPtr Self,
+                                       const CompletionRequest &Wanted,
+                                       net::HttpResponder &Answer) {
     std::string Text;
     for (std::uint32_t I = Wanted.m_From; I < Wanted.m_Tokens; ++I) {
-      const bool Goes = co_await awaitToken(Self, I == Wanted.m_From);
-      if (!Goes) {
+      const bool Continues = co_await awaitToken(Self, I == Wanted.m_From);
+      if (!Continues) {
         ++m_Stopped;
         co_return Answer.abort();
       }
       Text += tokenAt(Wanted.m_Prompt, Self->m_Digest, I);
       ++m_Tokens;
     }
-    const bool Sent =
-        co_await Answer.send(wholeAnswer(*Self, Wanted, std::move(Text)));
+    const bool Sent = co_await Answer.send(
+        completionResponse(*Self, Wanted, std::move(Text)));
     m_Completed += Sent ? 1 : 0;
   }
 
@@ -434,10 +439,10 @@
   EngineQueue m_Queue;
   Executions m_Executions;
   PrefixCache m_Cache;
-  LoadSeen m_LoadSeen;
+  LoadSample m_LoadSample;
   std::string m_Role = "mixed";
   std::uint64_t m_Fence = 0;
-  std::multimap<std::string, EngineRequestPtr> m_ById;
+  std::multimap<std::string, EngineRequestPtr> m_RequestsById;
   std::map<std::string, std::string> m_Kv;
   std::uint64_t m_Requests = 0;
   std::uint64_t m_Completed = 0;
--- a/support/standins/object-store.cc
+++ b/support/standins/object-store.cc
@@ -10,7 +10,8 @@
 
 namespace {
 
-/// Kind and name need quoting; the value is JSON already.
+/// Formats the fields of an object. The value is stored as JSON, so only kind
+/// and name are quoted.
 std::string objectFields(const StoredObject &Object) {
   std::string Out =
       "\"kind\":" + json::serialize(json::string(Object.m_Kind)) +
@@ -51,8 +52,8 @@
 std::uint64_t ObjectStore::put(const std::string &Kind, const std::string &Name,
                                std::string Json) {
   HistoryEntry Entry;
-  if (const StoredObject *Before = find(Kind, Name))
-    Entry.m_Before = *Before;
+  if (const StoredObject *Previous = find(Kind, Name))
+    Entry.m_Previous = *Previous;
   Entry.m_Object = {Kind, Name, ++m_Revision, std::move(Json)};
   m_Kinds[Kind].insert_or_assign(Name, Entry.m_Object);
   return add(std::move(Entry));
@@ -62,8 +63,8 @@
                                   const std::string &Name) {
   HistoryEntry Entry;
   Entry.m_Deleted = true;
-  if (const StoredObject *Before = find(Kind, Name))
-    Entry.m_Before = *Before;
+  if (const StoredObject *Previous = find(Kind, Name))
+    Entry.m_Previous = *Previous;
   Entry.m_Object = {Kind, Name, ++m_Revision, ""};
   m_Kinds[Kind].erase(Name);
   return add(std::move(Entry));
@@ -74,8 +75,8 @@
   return std::clamp(AsOf, Oldest, m_Revision);
 }
 
-ObjectStore::ObjectsByName ObjectStore::kindAsOf(const std::string &Kind,
-                                                 std::uint64_t AsOf) const {
+ObjectStore::ObjectsByName ObjectStore::objectsAsOf(const std::string &Kind,
+                                                    std::uint64_t AsOf) const {
   const auto Found = m_Kinds.find(Kind);
   ObjectsByName Objects =
       Found == m_Kinds.end() ? ObjectsByName() : Found->second;
@@ -84,8 +85,8 @@
       break;
     if (Entry->m_Object.m_Kind != Kind)
       continue;
-    if (Entry->m_Before)
-      Objects.insert_or_assign(Entry->m_Object.m_Name, *Entry->m_Before);
+    if (Entry->m_Previous)
+      Objects.insert_or_assign(Entry->m_Object.m_Name, *Entry->m_Previous);
     else
       Objects.erase(Entry->m_Object.m_Name);
   }
@@ -99,7 +100,7 @@
     const StoredObject *Current = find(Kind, Name);
     return Current ? std::optional(*Current) : std::nullopt;
   }
-  const ObjectsByName Objects = kindAsOf(Kind, AsOf);
+  const ObjectsByName Objects = objectsAsOf(Kind, AsOf);
   const auto Found = Objects.find(Name);
   return Found == Objects.end() ? std::nullopt : std::optional(Found->second);
 }
@@ -107,7 +108,7 @@
 std::vector<StoredObject> ObjectStore::listAsOf(const std::string &Kind,
                                                 std::uint64_t AsOf) const {
   std::vector<StoredObject> Out;
-  for (auto &[Name, Object] : kindAsOf(Kind, AsOf))
+  for (auto &[Name, Object] : objectsAsOf(Kind, AsOf))
     Out.push_back(Object);
   return Out;
 }
--- a/support/standins/object-store.h
+++ b/support/standins/object-store.h
@@ -1,4 +1,4 @@
-// The platform stand-in's objects with their whole history of writes.
+// Versioned objects of the platform stand-in with a bounded history of writes.
 #pragma once
 
 #include <boost/json/object.hpp>
@@ -21,17 +21,17 @@
 
 std::string formatObject(const StoredObject &Object);
 
-/// One write: what it left, and what stood there before.
+/// One write: the object that it produced and the one that it replaced.
 struct HistoryEntry {
   bool m_Deleted = false;
   StoredObject m_Object;
-  std::optional<StoredObject> m_Before;
+  std::optional<StoredObject> m_Previous;
 };
 
 std::string formatEvent(const HistoryEntry &Entry);
 
-/// Each write has the next revision. Keeps a bounded history, from which
-/// watches continue and stale reads are answered.
+/// Gives each write the next revision. The bounded history serves watches that
+/// continue from a revision and reads as of an earlier one.
 class ObjectStore {
 public:
   explicit ObjectStore(std::size_t HistoryLimit)
@@ -44,24 +44,26 @@
                     std::string Json);
   std::uint64_t remove(const std::string &Kind, const std::string &Name);
 
-  /// The nearest revision to AsOf that can still be answered.
+  /// Returns the revision nearest to AsOf that the history still covers.
   std::uint64_t clampRevision(std::uint64_t AsOf) const;
   std::optional<StoredObject> findAsOf(const std::string &Kind,
                                        const std::string &Name,
                                        std::uint64_t AsOf) const;
   std::vector<StoredObject> listAsOf(const std::string &Kind,
                                      std::uint64_t AsOf) const;
-  /// The entry of that revision; null when it is compacted or to come.
+  /// Returns the entry of a revision, or null if it is compacted or does not
+  /// exist yet.
   const HistoryEntry *entry(std::uint64_t Revision) const;
-  /// False when events after that revision are compacted.
+  /// Returns false if events after the revision are compacted.
   bool canContinueFrom(std::uint64_t Revision) const;
-  /// Forgets the history up to now, so that older watches cannot continue.
+  /// Drops the history, so that watches cannot continue from older revisions.
   void compact() { m_History.clear(); }
 
 private:
   using ObjectsByName = std::map<std::string, StoredObject>;
 
-  ObjectsByName kindAsOf(const std::string &Kind, std::uint64_t AsOf) const;
+  /// Undoes the writes after AsOf on a copy of the current objects.
+  ObjectsByName objectsAsOf(const std::string &Kind, std::uint64_t AsOf) const;
   std::uint64_t add(HistoryEntry Entry);
 
   std::size_t m_HistoryLimit;
--- a/support/standins/origin.cc
+++ b/support/standins/origin.cc
@@ -1,4 +1,4 @@
-// The origin of weights, and the rate-limited weight store.
+// Stand-ins for the origin of weights and for the rate-limited weight store.
 #include "deckpitch/manifest.h"
 #include "standins/content.h"
 #include "standins/standin.h"
@@ -23,19 +23,20 @@
 using SteadyClock = std::chrono::steady_clock;
 
 constexpr milliseconds HangPoll{20};
-constexpr std::uint64_t PieceBytes = std::uint64_t{256} * 1024;
-constexpr std::uint64_t ShapedPieceBytes = std::uint64_t{16} * 1024;
+constexpr std::uint64_t MaxPieceBytes = std::uint64_t{256} * 1024;
+constexpr std::uint64_t LimitedPieceBytes = std::uint64_t{16} * 1024;
 constexpr std::uint32_t DefaultChunkBytes = 1024 * 1024;
 constexpr std::uint64_t MaxContentBytes = 1ULL << 36;
 
 struct OriginFaults {
   Outage m_Outage = Outage::None;
-  std::uint64_t m_BytesPerSecond = 0; ///< over all connections; 0: unlimited
+  std::uint64_t m_BytesPerSecond = 0; ///< of all connections; 0: unlimited
   std::set<std::uint64_t> m_CorruptChunks;
-  std::uint64_t m_StallAfterBytes = 0; ///< of each answer; 0: never
+  std::uint64_t m_StallAfterBytes = 0; ///< per response; 0: never
   std::uint64_t m_RequestsPerSecond = 0;
 };
 
+/// Generated content of one version of weights.
 struct Content {
   Manifest m_Manifest;
   std::uint64_t m_Seed = 0;
@@ -47,6 +48,8 @@
   std::uint64_t m_Last = 0;
 };
 
+/// Parses a Range header with a single range. Returns the whole content for an
+/// empty header, and nothing if the range is malformed or unsatisfiable.
 std::optional<ByteRange> parseRange(std::string_view Text,
                                     std::uint64_t Bytes) {
   if (Text.empty())
@@ -73,10 +76,12 @@
   return Range;
 }
 
-/// Shares a rate over all that ask: each gets one piece in its turn.
-class Link {
+/// Limits the total bandwidth of all connections. Pieces are sent one after
+/// another, in the order in which they were reserved.
+class BandwidthLimiter {
 public:
-  /// When a piece of that size has passed the link.
+  /// Reserves the link for a piece and returns the time at which the transfer
+  /// ends.
   SteadyClock::time_point reserve(std::uint64_t Bytes, std::uint64_t Rate) {
     const auto Now = SteadyClock::now();
     const std::chrono::duration<double> Cost(static_cast<double>(Bytes) /
@@ -90,9 +95,10 @@
   SteadyClock::time_point m_FreeAt;
 };
 
-/// Counts requests in windows of one second.
+/// Limits the number of requests in each window of one second.
 class RequestRate {
 public:
+  /// Counts a request and returns whether it is within the limit; 0: unlimited.
   bool allow(std::uint64_t Limit) {
     if (Limit == 0)
       return true;
@@ -145,10 +151,10 @@
       co_await Answer.send(errorResponse(404, "no such weights"));
       co_return;
     }
-    const std::string Part = Rest.substr(Slash + 1);
-    if (Part == "manifest")
+    const std::string Resource = Rest.substr(Slash + 1);
+    if (Resource == "manifest")
       co_await sendManifest(Found->second, Answer);
-    else if (Part == "content")
+    else if (Resource == "content")
       co_await sendContent(Found->second, Request, Answer, Client);
     else
       co_await Answer.send(errorResponse(404, "no such path"));
@@ -159,7 +165,7 @@
     const std::string Name = below(Request.path(), "/_standin/weights/");
     if (Name.empty() || Request.m_Method != "PUT")
       co_return false;
-    co_await Answer.send(make(Name, Request.m_Body));
+    co_await Answer.send(createContent(Name, Request.m_Body));
     co_return true;
   }
 
@@ -188,40 +194,41 @@
   }
 
 private:
-  net::HttpResponse make(const std::string &Name, const std::string &Body) {
+  net::HttpResponse createContent(const std::string &Name,
+                                  const std::string &Body) {
     const json::value Value = parseBody(Body);
     const json::object *Object = asObject(Value);
     if (!Object)
       return errorResponse(400, "expected a JSON object");
     std::uint64_t Bytes = 0;
     std::uint64_t ChunkBytes = DefaultChunkBytes;
-    Content Made;
-    Made.m_Seed = XXH64(Name.data(), Name.size(), 0);
+    Content Created;
+    Created.m_Seed = XXH64(Name.data(), Name.size(), 0);
     SwitchReader Reader(*Object);
     Reader.read("bytes", Bytes);
     Reader.read("chunkBytes", ChunkBytes);
-    Reader.read("seed", Made.m_Seed);
+    Reader.read("seed", Created.m_Seed);
     if (const json::value *Base = Object->if_contains("base"))
-      Made.m_Base = Base->is_string() ? Base->get_string().c_str() : "";
+      Created.m_Base = Base->is_string() ? Base->get_string().c_str() : "";
     if (Bytes == 0 || Bytes > MaxContentBytes || ChunkBytes == 0 ||
         ChunkBytes > Bytes + DefaultChunkBytes)
       return errorResponse(422, "bytes or chunkBytes out of range");
-    Made.m_Manifest.m_Weights = {Name};
-    Made.m_Manifest.m_Bytes = Bytes;
-    Made.m_Manifest.m_ChunkBytes = static_cast<std::uint32_t>(ChunkBytes);
-    addDigests(Made);
-    const std::string Text = manifestText(Made);
-    m_Contents.insert_or_assign(Name, std::move(Made));
+    Created.m_Manifest.m_Weights = {Name};
+    Created.m_Manifest.m_Bytes = Bytes;
+    Created.m_Manifest.m_ChunkBytes = static_cast<std::uint32_t>(ChunkBytes);
+    addDigests(Created);
+    const std::string Text = manifestText(Created);
+    m_Contents.insert_or_assign(Name, std::move(Created));
     return net::jsonResponse(200, Text);
   }
 
-  static void addDigests(Content &Made) {
-    Manifest &Out = Made.m_Manifest;
+  static void addDigests(Content &Created) {
+    Manifest &Out = Created.m_Manifest;
     const std::uint64_t Count =
         (Out.m_Bytes + Out.m_ChunkBytes - 1) / Out.m_ChunkBytes;
     for (std::uint32_t I = 0; I < Count; ++I) {
       const std::string Chunk =
-          contentBytes(Made.m_Seed, Out.chunkOffset(I), Out.chunkLength(I));
+          contentBytes(Created.m_Seed, Out.chunkOffset(I), Out.chunkLength(I));
       Out.m_Chunks.push_back(
           digestOf({reinterpret_cast<const std::uint8_t *>(Chunk.data()),
                     Chunk.size()}));
@@ -229,25 +236,26 @@
     Out.m_Whole = wholeDigest(Out.m_Chunks);
   }
 
-  static std::string manifestText(const Content &Of) {
-    std::string Text = formatManifest(Of.m_Manifest);
-    if (Of.m_Base.empty())
+  static std::string manifestText(const Content &Source) {
+    std::string Text = formatManifest(Source.m_Manifest);
+    if (Source.m_Base.empty())
       return Text;
     json::value Value = parseBody(Text);
-    Value.as_object()["base"] = Of.m_Base;
+    Value.as_object()["base"] = Source.m_Base;
     return json::serialize(Value);
   }
 
-  asio::awaitable<void> sendManifest(const Content &Of,
+  asio::awaitable<void> sendManifest(const Content &Source,
                                      net::HttpResponder &Answer) {
     ++m_ManifestReads;
-    co_await Answer.send(net::jsonResponse(200, manifestText(Of)));
+    co_await Answer.send(net::jsonResponse(200, manifestText(Source)));
   }
 
-  asio::awaitable<void> sendContent(Content Of, const net::HttpRequest &Request,
+  asio::awaitable<void> sendContent(Content Source,
+                                    const net::HttpRequest &Request,
                                     net::HttpResponder &Answer,
                                     const GoneFlag &Client) {
-    const std::uint64_t Bytes = Of.m_Manifest.m_Bytes;
+    const std::uint64_t Bytes = Source.m_Manifest.m_Bytes;
     const auto Range = parseRange(Request.m_Headers.find("Range"), Bytes);
     if (!Range) {
       co_await Answer.send(errorResponse(416, "no such range"));
@@ -255,7 +263,7 @@
     }
     ++m_ContentReads;
     net::HttpHeaders Headers;
-    Headers.add("ETag", "\"" + toHex(Of.m_Manifest.m_Whole) + "\"");
+    Headers.add("ETag", "\"" + toHex(Source.m_Manifest.m_Whole) + "\"");
     Headers.add("Content-Type", "application/octet-stream");
     Headers.add("Content-Range", "bytes " + std::to_string(Range->m_First) +
                                      "-" + std::to_string(Range->m_Last) + "/" +
@@ -266,51 +274,53 @@
     std::uint64_t At = Range->m_First;
     while (At <= Range->m_Last) {
       const std::uint64_t Length =
-          co_await admit(Range->m_Last - At + 1, Sent, Client);
+          co_await awaitNextPiece(Range->m_Last - At + 1, Sent, Client);
       if (Length == 0)
         co_return Answer.abort();
-      if (!co_await Answer.write(piece(Of, At, Length)))
+      if (!co_await Answer.write(pieceBytes(Source, At, Length)))
         co_return;
       At += Length;
       Sent += Length;
       m_Bytes += Length;
-      m_BytesByWeights[Of.m_Manifest.m_Weights.m_Text] += Length;
+      m_BytesByWeights[Source.m_Manifest.m_Weights.m_Text] += Length;
     }
     co_await Answer.end();
   }
 
-  /// How much of what is left may pass now, after waiting for the link; 0:
-  /// the client is gone.
-  asio::awaitable<std::uint64_t> admit(std::uint64_t Left, std::uint64_t Sent,
-                                       const GoneFlag &Client) {
-    while (stalls(Sent) && !Client.gone())
+  /// Waits until the next piece may be sent and returns its length in bytes, or
+  /// 0 if the client has disconnected.
+  asio::awaitable<std::uint64_t> awaitNextPiece(std::uint64_t Left,
+                                                std::uint64_t Sent,
+                                                const GoneFlag &Client) {
+    while (isStalled(Sent) && !Client.gone())
       co_await pause(HangPoll);
     if (Client.gone())
       co_return 0;
     const std::uint64_t Rate = m_Faults.m_BytesPerSecond;
-    std::uint64_t Length = std::min(Left, Rate ? ShapedPieceBytes : PieceBytes);
+    std::uint64_t Length =
+        std::min(Left, Rate ? LimitedPieceBytes : MaxPieceBytes);
     if (m_Faults.m_StallAfterBytes > Sent)
       Length = std::min(Length, m_Faults.m_StallAfterBytes - Sent);
     if (Rate == 0)
       co_return Length;
-    const auto Passed = m_Link.reserve(Length, Rate);
-    asio::steady_timer Timer(co_await asio::this_coro::executor, Passed);
+    const auto SentAt = m_BandwidthLimiter.reserve(Length, Rate);
+    asio::steady_timer Timer(co_await asio::this_coro::executor, SentAt);
     co_await Timer.async_wait(asio::as_tuple(asio::use_awaitable));
     co_return Client.gone() ? 0 : Length;
   }
 
-  bool stalls(std::uint64_t Sent) const {
+  bool isStalled(std::uint64_t Sent) const {
     return m_Faults.m_StallAfterBytes != 0 &&
            Sent >= m_Faults.m_StallAfterBytes;
   }
 
-  std::string piece(const Content &Of, std::uint64_t Offset,
-                    std::uint64_t Length) const {
-    std::string Bytes = contentBytes(Of.m_Seed, Offset, Length);
+  std::string pieceBytes(const Content &Source, std::uint64_t Offset,
+                         std::uint64_t Length) const {
+    std::string Bytes = contentBytes(Source.m_Seed, Offset, Length);
     if (m_Faults.m_CorruptChunks.empty())
       return Bytes;
     for (std::uint64_t I = 0; I < Length; ++I) {
-      const std::uint64_t Chunk = (Offset + I) / Of.m_Manifest.m_ChunkBytes;
+      const std::uint64_t Chunk = (Offset + I) / Source.m_Manifest.m_ChunkBytes;
       if (m_Faults.m_CorruptChunks.contains(Chunk))
         Bytes[I] = static_cast<char>(Bytes[I] ^ 1);
     }
@@ -319,7 +329,7 @@
 
   StoreOptions m_Options;
   OriginFaults m_Faults;
-  Link m_Link;
+  BandwidthLimiter m_BandwidthLimiter;
   RequestRate m_Rate;
   std::map<std::string, Content> m_Contents;
   std::map<std::string, std::uint64_t> m_BytesByWeights;
--- a/support/standins/platform.cc
+++ b/support/standins/platform.cc
@@ -1,4 +1,5 @@
-// The platform's object interface, in memory.
+// Platform stand-in: an in-memory object store with watches and a list of
+// instances.
 #include "standins/object-store.h"
 #include "standins/standin.h"
 
@@ -22,7 +23,7 @@
 using SteadyClock = std::chrono::steady_clock;
 
 constexpr milliseconds HangPoll{20};
-constexpr milliseconds BookmarkPeriod{500};
+constexpr milliseconds BookmarkInterval{500};
 constexpr milliseconds ReorderWindow{50};
 constexpr std::size_t MaxValueBytes = std::size_t{1024} * 1024;
 constexpr std::size_t MaxInstanceLists = 1000;
@@ -31,7 +32,7 @@
 struct PlatformFaults {
   Outage m_Outage = Outage::None;
   milliseconds m_Delay{0};
-  std::uint64_t m_LoseAnswers = 0;
+  std::uint64_t m_LostWriteAnswers = 0;
   std::uint64_t m_StaleReadRevisions = 0;
   bool m_DropWatches = false;
   bool m_RepeatWatchEvents = false;
@@ -41,7 +42,7 @@
 
 struct ObjectPath {
   std::string m_Kind;
-  std::string m_Name; ///< empty: the whole kind
+  std::string m_Name; ///< empty: all objects of the kind
 };
 
 ObjectPath parseObjectPath(std::string_view Path) {
@@ -52,8 +53,8 @@
   return {Rest.substr(0, Slash), Rest.substr(Slash + 1)};
 }
 
-/// The revision in an If-Match header.
-std::optional<std::uint64_t> parseMatch(std::string_view Text) {
+/// Parses the revision in an If-Match header.
+std::optional<std::uint64_t> parseRevisionMatch(std::string_view Text) {
   if (Text.size() < 2 || Text.front() != '"' || Text.back() != '"')
     return std::nullopt;
   std::uint64_t Revision = 0;
@@ -65,7 +66,7 @@
 }
 
 struct InstanceList {
-  SteadyClock::time_point m_From;
+  SteadyClock::time_point m_SetAt;
   std::string m_Json = R"({"items":[]})";
 };
 
@@ -73,7 +74,7 @@
   explicit Watch(const asio::any_io_executor &Executor) : m_Wake(Executor) {}
   asio::steady_timer m_Wake;
   std::set<std::string> m_Kinds;
-  std::uint64_t m_Sent = 0; ///< complete up to this revision
+  std::uint64_t m_Sent = 0; ///< last revision whose events were sent
   bool m_Broken = false;
 };
 
@@ -111,9 +112,10 @@
       co_return;
     }
     net::HttpResponse Response = answer(Request);
-    const bool Wrote = Request.m_Method != "GET" && Response.m_Status < 300;
-    if (Wrote && m_Faults.m_LoseAnswers > 0) {
-      --m_Faults.m_LoseAnswers;
+    const bool WriteSucceeded =
+        Request.m_Method != "GET" && Response.m_Status < 300;
+    if (WriteSucceeded && m_Faults.m_LostWriteAnswers > 0) {
+      --m_Faults.m_LostWriteAnswers;
       co_return Answer.abort();
     }
     co_await Answer.send(std::move(Response));
@@ -137,7 +139,7 @@
     m_Faults = {};
     Faults.read("outage", m_Faults.m_Outage);
     Faults.read("delayMs", m_Faults.m_Delay);
-    Faults.read("loseAnswers", m_Faults.m_LoseAnswers);
+    Faults.read("loseAnswers", m_Faults.m_LostWriteAnswers);
     Faults.read("staleReadRevisions", m_Faults.m_StaleReadRevisions);
     Faults.read("dropWatches", m_Faults.m_DropWatches);
     Faults.read("repeatWatchEvents", m_Faults.m_RepeatWatchEvents);
@@ -177,10 +179,12 @@
     return errorResponse(405, "method not allowed");
   }
 
+  /// Returns the revision that reads see, which the fault staleReadRevisions
+  /// moves back.
   std::uint64_t readRevision() const {
     const std::uint64_t Now = m_Store.revision();
-    const std::uint64_t Back = std::min(Now, m_Faults.m_StaleReadRevisions);
-    return m_Store.clampRevision(Now - Back);
+    const std::uint64_t Lag = std::min(Now, m_Faults.m_StaleReadRevisions);
+    return m_Store.clampRevision(Now - Lag);
   }
 
   net::HttpResponse get(const ObjectPath &Path) {
@@ -202,7 +206,8 @@
                                       ",\"items\":[" + Items + "]}");
   }
 
-  net::HttpResponse written(unsigned Status, std::uint64_t Revision) {
+  /// Wakes all watches and returns the response to a successful write.
+  net::HttpResponse writeResponse(unsigned Status, std::uint64_t Revision) {
     for (Watch *Each : m_Watches)
       Each->m_Wake.cancel();
     return jsonObjectResponse(Status, {{"revision", Revision}});
@@ -219,13 +224,13 @@
       ++m_Calls["create"];
       if (Current)
         return net::jsonResponse(409, formatObject(*Current));
-      return written(
+      return writeResponse(
           201, m_Store.put(Path.m_Kind, Path.m_Name, json::serialize(Value)));
     }
     ++m_Calls["update"];
-    if (const auto Refused = refusal(Current, Request))
-      return *Refused;
-    return written(
+    if (const auto Error = preconditionError(Current, Request))
+      return *Error;
+    return writeResponse(
         200, m_Store.put(Path.m_Kind, Path.m_Name, json::serialize(Value)));
   }
 
@@ -233,18 +238,19 @@
                            const net::HttpRequest &Request) {
     ++m_Calls["delete"];
     const StoredObject *Current = m_Store.find(Path.m_Kind, Path.m_Name);
-    if (const auto Refused = refusal(Current, Request))
-      return *Refused;
-    return written(200, m_Store.remove(Path.m_Kind, Path.m_Name));
+    if (const auto Error = preconditionError(Current, Request))
+      return *Error;
+    return writeResponse(200, m_Store.remove(Path.m_Kind, Path.m_Name));
   }
 
-  /// Why a conditional write is refused, if it is.
+  /// Returns the error response if the precondition of a write does not hold.
   static std::optional<net::HttpResponse>
-  refusal(const StoredObject *Current, const net::HttpRequest &Request) {
+  preconditionError(const StoredObject *Current,
+                    const net::HttpRequest &Request) {
     const std::string_view Match = Request.m_Headers.find("If-Match");
     if (Match.empty())
       return errorResponse(428, "a write needs a precondition");
-    const auto Revision = parseMatch(Match);
+    const auto Revision = parseRevisionMatch(Match);
     if (!Revision)
       return errorResponse(400, "If-Match holds no revision");
     if (!Current)
@@ -265,11 +271,13 @@
     return net::jsonResponse(200, "{}");
   }
 
+  /// Returns the newest list of instances that is at least as old as the lag,
+  /// or the oldest one kept.
   std::string instances() const {
     const auto AsOf = SteadyClock::now() - m_Faults.m_InstanceListLag;
     for (auto Each = m_InstanceLists.rbegin(); Each != m_InstanceLists.rend();
          ++Each)
-      if (Each->m_From <= AsOf)
+      if (Each->m_SetAt <= AsOf)
         return Each->m_Json;
     return m_InstanceLists.front().m_Json;
   }
@@ -298,34 +306,37 @@
     if (!co_await Answer.begin(200, std::move(Headers)))
       co_return;
     m_Watches.insert(&Self);
-    co_await follow(Self, Answer, Client);
+    co_await sendEvents(Self, Answer, Client);
     m_Watches.erase(&Self);
     Answer.abort();
   }
 
-  /// Sends events until the watch breaks or its client goes away.
-  asio::awaitable<void> follow(Watch &Self, net::HttpResponder &Answer,
-                               const GoneFlag &Client) {
-    bool Idle = true;
+  /// Sends events until the watch is broken or its client disconnects.
+  asio::awaitable<void> sendEvents(Watch &Self, net::HttpResponder &Answer,
+                                   const GoneFlag &Client) {
+    bool BookmarkDue = true;
     while (!Self.m_Broken && !Client.gone()) {
-      const bool Silent = m_Faults.m_Outage == Outage::Hang;
-      if (!Silent && !m_Store.canContinueFrom(Self.m_Sent))
+      const bool Hanging = m_Faults.m_Outage == Outage::Hang;
+      if (!Hanging && !m_Store.canContinueFrom(Self.m_Sent))
         co_return;
-      const std::string Lines = Silent ? std::string() : newLines(Self, Idle);
+      const std::string Lines =
+          Hanging ? std::string() : takeNewLines(Self, BookmarkDue);
       if (!Lines.empty() && !co_await Answer.write(Lines))
         co_return;
-      if (Self.m_Sent < m_Store.revision() && !Silent)
+      if (Self.m_Sent < m_Store.revision() && !Hanging)
         continue;
-      Self.m_Wake.expires_after(Silent ? HangPoll : BookmarkPeriod);
+      Self.m_Wake.expires_after(Hanging ? HangPoll : BookmarkInterval);
       const auto [Ec] =
           co_await Self.m_Wake.async_wait(asio::as_tuple(asio::use_awaitable));
-      Idle = !Ec;
+      BookmarkDue = !Ec;
       if (Ec && m_Faults.m_ReorderWatchEvents)
         co_await pause(ReorderWindow);
     }
   }
 
-  std::string newLines(Watch &Self, bool Idle) {
+  /// Formats the events after the last revision sent. Returns a bookmark if
+  /// there are none and one is due.
+  std::string takeNewLines(Watch &Self, bool BookmarkDue) {
     std::vector<std::string> Lines;
     for (std::uint64_t At = Self.m_Sent + 1; At <= m_Store.revision(); ++At) {
       const HistoryEntry *Entry = m_Store.entry(At);
@@ -339,7 +350,7 @@
     std::string Out;
     for (const std::string &Each : Lines)
       Out += m_Faults.m_RepeatWatchEvents ? Each + Each : Each;
-    if (Lines.empty() && Idle)
+    if (Lines.empty() && BookmarkDue)
       Out =
           "{\"type\":\"bookmark\",\"revision\":" + std::to_string(Self.m_Sent) +
           "}\n";
