--- a/support/standins/engine-weights.cc
+++ b/support/standins/engine-weights.cc
@@ -30,7 +30,7 @@
 } // namespace
 
 net::HttpResponse EngineWeights::staging(net::HttpRequest Request) {
-  const std::string Rest = below(Request.path(), StagingPrefix);
+  const std::string Rest = pathAfter(Request.path(), StagingPrefix);
   const std::size_t At = Rest.find(ChunksSegment);
   const std::string Weights = Rest.substr(0, At);
   if (At == std::string::npos) {
--- a/support/standins/engine-weights.h
+++ b/support/standins/engine-weights.h
@@ -25,7 +25,7 @@
       : m_Slots(Slots), m_StagingLimitBytes(StagingBytes),
         m_IsRunning(std::move(IsRunning)) {}
 
-  /// Handles requests below /v1/engine/staging/.
+  /// Handles requests under /v1/engine/staging/.
   net::HttpResponse staging(net::HttpRequest Request);
   net::HttpResponse load(const boost::json::object &Order);
   net::HttpResponse activate(const boost::json::object &Order);
--- a/support/standins/engine.cc
+++ b/support/standins/engine.cc
@@ -42,12 +42,12 @@
   std::string m_Model;
   std::string m_Prompt;
   std::uint32_t m_Tokens = DefaultMaxTokens;
-  std::uint32_t m_From = 0;
+  std::uint32_t m_ResumeFrom = 0;
   bool m_Stream = false;
 };
 
 struct LoadSample {
-  SteadyClock::time_point m_Taken;
+  SteadyClock::time_point m_SampledAt;
   json::object m_Load;
 };
 
@@ -67,7 +67,7 @@
     Out.m_Model = Model->is_string() ? Model->get_string().c_str() : "";
   Out.m_Prompt = promptOf(Body);
   Out.m_Tokens = numberOf(Body, "max_tokens", DefaultMaxTokens);
-  Out.m_From = numberOf(Body, "resume_from", 0);
+  Out.m_ResumeFrom = numberOf(Body, "resume_from", 0);
   const json::value *Stream = Body.if_contains("stream");
   Out.m_Stream = Stream && Stream->is_bool() && Stream->get_bool();
   return Out;
@@ -131,7 +131,7 @@
     co_return true;
   }
 
-  void setFaults(SwitchReader &Faults) override {
+  void setFaults(FaultReader &Faults) override {
     m_Faults = {};
     m_Faults.m_StrictFencing = m_Options.m_StrictFencing;
     Faults.read("delayFirstTokenMs", m_Faults.m_DelayFirstToken);
@@ -163,9 +163,9 @@
           200, m_Cache.eventsSince(parseNumber(Request.query("since")),
                                    SteadyClock::now() - m_Faults.m_LoadLag));
     if (Path.starts_with("/v1/requests/") && Request.m_Method == "DELETE")
-      return cancel(below(Path, "/v1/requests/"));
+      return cancel(pathAfter(Path, "/v1/requests/"));
     if (Path.starts_with("/v1/kv/"))
-      return kv(below(Path, "/v1/kv/"), std::move(Request));
+      return kv(pathAfter(Path, "/v1/kv/"), std::move(Request));
     return errorResponse(404, "no such path");
   }
 
@@ -174,7 +174,7 @@
     m_Weights.describe(Out);
     const auto Now = SteadyClock::now();
     if (m_LoadSample.m_Load.empty() ||
-        Now - m_LoadSample.m_Taken >= m_Faults.m_LoadLag)
+        Now - m_LoadSample.m_SampledAt >= m_Faults.m_LoadLag)
       m_LoadSample = {Now,
                       {{"running", m_Queue.running()},
                        {"waiting", m_Queue.waiting()},
@@ -195,7 +195,7 @@
 
   net::HttpResponse order(const net::HttpRequest &Request) {
     const json::value Value = parseBody(Request.m_Body);
-    const json::object *Order = asObject(Value);
+    const json::object *Order = objectOrNull(Value);
     if (!Order)
       return errorResponse(400, "expected a JSON object");
     ++m_Orders;
@@ -262,7 +262,7 @@
                                          net::HttpResponder &Answer) {
     ++m_Requests;
     const json::value Value = parseBody(Request.m_Body);
-    const json::object *Body = asObject(Value);
+    const json::object *Body = objectOrNull(Value);
     if (!Body) {
       co_await Answer.send(errorResponse(400, "expected a JSON object"));
       co_return;
@@ -282,7 +282,7 @@
         Locked->stop();
     });
     while (m_Faults.m_AcceptAndHang && !Self->m_Stopped)
-      co_await pause(HangPoll);
+      co_await sleepFor(HangPoll);
     const auto Registration = m_RequestsById.emplace(Self->m_Id, Self);
     const bool Admitted = co_await m_Queue.acquireSlot(Self);
     if (Admitted) {
@@ -350,7 +350,7 @@
     Headers.add("Content-Type", "text/event-stream");
     Headers.add("X-Weights", Self->m_Weights);
     std::uint32_t Sent = 0;
-    for (std::uint32_t I = Wanted.m_From; I < Wanted.m_Tokens; ++I) {
+    for (std::uint32_t I = Wanted.m_ResumeFrom; I < Wanted.m_Tokens; ++I) {
       const bool Continues = co_await awaitToken(Self, Sent == 0);
       const bool BreakInjected = m_Faults.m_BreakAfterTokens != 0 &&
                                  Sent >= m_Faults.m_BreakAfterTokens;
@@ -405,7 +405,7 @@
          json::object{{"role", "assistant"}, {"content", std::move(Text)}}},
         {"finish_reason", "stop"}};
     const json::object Usage{
-        {"completion_tokens", Wanted.m_Tokens - Wanted.m_From}};
+        {"completion_tokens", Wanted.m_Tokens - Wanted.m_ResumeFrom}};
     return jsonObjectResponse(200, {{"id", Self.m_Id},
                                     {"object", "chat.completion"},
                                     {"model", Wanted.m_Model},
@@ -419,8 +419,8 @@
                                        const CompletionRequest &Wanted,
                                        net::HttpResponder &Answer) {
     std::string Text;
-    for (std::uint32_t I = Wanted.m_From; I < Wanted.m_Tokens; ++I) {
-      const bool Continues = co_await awaitToken(Self, I == Wanted.m_From);
+    for (std::uint32_t I = Wanted.m_ResumeFrom; I < Wanted.m_Tokens; ++I) {
+      const bool Continues = co_await awaitToken(Self, I == Wanted.m_ResumeFrom);
       if (!Continues) {
         ++m_Stopped;
         co_return Answer.abort();
--- a/support/standins/executions.h
+++ b/support/standins/executions.h
@@ -1,4 +1,4 @@
-// Records how often each call was executed.
+// Counts the executions of each call.
 #pragma once
 
 #include "net/http.h"
@@ -11,16 +11,18 @@
 
 namespace deckpitch::standins {
 
-/// Counts by Idempotency-Key, or by X-Request-Id without one.
+/// Identifies a call by its Idempotency-Key, or by its X-Request-Id if it has
+/// no key.
 class Executions {
 public:
-  /// Gives how often the call was executed, this time included.
+  /// Counts an execution and returns the number of executions of the call,
+  /// including this one.
   std::uint64_t record(const net::HttpRequest &Request) {
     ++m_Total;
-    return ++m_Counts[keyOf(Request)];
+    return ++m_Counts[callKey(Request)];
   }
 
-  static std::string keyOf(const net::HttpRequest &Request) {
+  static std::string callKey(const net::HttpRequest &Request) {
     const std::string_view Key = Request.m_Headers.find("Idempotency-Key");
     return std::string(Key.empty() ? Request.m_Headers.find("X-Request-Id")
                                    : Key);
--- a/support/standins/main.cc
+++ b/support/standins/main.cc
@@ -1,4 +1,4 @@
-// deckpitch-standins: small stand-ins for the outside systems, for tests.
+// deckpitch-standins: stand-ins for external systems, for tests.
 #include "standins/standin.h"
 
 #include <absl/flags/flag.h>
@@ -14,20 +14,25 @@
 ABSL_FLAG(std::string, kind, "all",
           "platform, origin, store, engine, service or all");
 ABSL_FLAG(std::string, listen, "127.0.0.1:0",
-          "address; with several stand-ins, port 0");
-ABSL_FLAG(std::uint32_t, engines, 4, "number of engines, kinds engine and all");
+          "address to listen on; port 0 if several stand-ins are started");
+ABSL_FLAG(std::uint32_t, engines, 4,
+          "number of engines, for kinds engine and all");
 ABSL_FLAG(std::uint32_t, services, 1,
-          "number of plain services, kinds service and all");
-ABSL_FLAG(std::uint32_t, slots, 2, "weights that an engine holds at once");
-ABSL_FLAG(std::uint32_t, concurrency, 8, "requests that an engine runs");
+          "number of plain services, for kinds service and all");
+ABSL_FLAG(std::uint32_t, slots, 2,
+          "versions of weights that an engine can load at once");
+ABSL_FLAG(std::uint32_t, concurrency, 8,
+          "requests that an engine runs at once");
 ABSL_FLAG(std::uint32_t, queue, 1024, "requests that may wait in an engine");
 ABSL_FLAG(std::uint64_t, staging_bytes, 0,
-          "room for staged chunks in an engine; 0: unlimited");
-ABSL_FLAG(bool, strict_fencing, false, "engines refuse stale fencing numbers");
+          "bytes of staged chunks per engine; 0: unlimited");
+ABSL_FLAG(bool, strict_fencing, false,
+          "engines reject orders with a stale fencing number");
 ABSL_FLAG(std::uint64_t, store_requests_per_second, 20,
-          "rate of the weight store; 0: unlimited");
-ABSL_FLAG(std::uint64_t, history, 10'000,
-          "writes that the platform's watches can continue from");
+          "request limit of the weight store; 0: unlimited");
+ABSL_FLAG(
+    std::uint64_t, history, 10'000,
+    "number of past writes that the platform keeps for watches and reads");
 
 namespace {
 
@@ -47,27 +52,27 @@
   return Options;
 }
 
-StandInList makeAll(const std::string &Kind) {
-  const bool All = Kind == "all";
-  StandInList Made;
-  if (All || Kind == "platform")
-    Made.push_back(makePlatform(absl::GetFlag(FLAGS_history)));
-  if (All || Kind == "origin")
-    Made.push_back(makeOrigin({}));
-  if (All || Kind == "store")
-    Made.push_back(
+StandInList createStandIns(const std::string &Kind) {
+  const bool IsAll = Kind == "all";
+  StandInList StandIns;
+  if (IsAll || Kind == "platform")
+    StandIns.push_back(makePlatform(absl::GetFlag(FLAGS_history)));
+  if (IsAll || Kind == "origin")
+    StandIns.push_back(makeOrigin({}));
+  if (IsAll || Kind == "store")
+    StandIns.push_back(
         makeOrigin({true, absl::GetFlag(FLAGS_store_requests_per_second)}));
-  if (All || Kind == "engine")
+  if (IsAll || Kind == "engine")
     for (std::uint32_t I = 0; I < absl::GetFlag(FLAGS_engines); ++I)
-      Made.push_back(makeEngine(engineOptions()));
-  if (All || Kind == "service")
+      StandIns.push_back(makeEngine(engineOptions()));
+  if (IsAll || Kind == "service")
     for (std::uint32_t I = 0; I < absl::GetFlag(FLAGS_services); ++I)
-      Made.push_back(makeService());
-  return Made;
+      StandIns.push_back(makeService());
+  return StandIns;
 }
 
-bool startAll(StandInList &Made) {
-  for (auto &Each : Made) {
+bool startStandIns(StandInList &StandIns) {
+  for (auto &Each : StandIns) {
     const auto Bound =
         outcomeOf([&] { return Each->start(absl::GetFlag(FLAGS_listen)); });
     if (!Bound) {
@@ -84,20 +89,20 @@
 } // namespace
 
 int main(int Argc, char **Argv) {
-  absl::SetProgramUsageMessage("runs stand-ins until it is told to stop");
+  absl::SetProgramUsageMessage("runs stand-ins until SIGINT or SIGTERM");
   absl::ParseCommandLine(Argc, Argv);
   boost::asio::io_context Io;
   boost::asio::signal_set Signals(Io, SIGINT, SIGTERM);
   Signals.async_wait([](const boost::system::error_code &, int) {});
-  StandInList Made = makeAll(absl::GetFlag(FLAGS_kind));
-  if (Made.empty()) {
-    std::cerr << "--kind is unknown, or nothing is to be started\n";
+  StandInList StandIns = createStandIns(absl::GetFlag(FLAGS_kind));
+  if (StandIns.empty()) {
+    std::cerr << "--kind is unknown, or the number of stand-ins is 0\n";
     return ExitUsage;
   }
-  const bool Started = startAll(Made);
+  const bool Started = startStandIns(StandIns);
   if (Started)
     Io.run();
-  for (auto &Each : Made)
+  for (auto &Each : StandIns)
     Each->stop();
   return Started ? 0 : 1;
 }
--- a/support/standins/origin.cc
+++ b/support/standins/origin.cc
@@ -129,9 +129,9 @@
   asio::awaitable<void> serve(net::HttpRequest Request,
                               net::HttpResponder &Answer) override {
     ++m_Calls;
-    GoneFlag Client(Answer);
-    while (m_Faults.m_Outage == Outage::Hang && !Client.gone())
-      co_await pause(HangPoll);
+    DisconnectFlag Client(Answer);
+    while (m_Faults.m_Outage == Outage::Hang && !Client.disconnected())
+      co_await sleepFor(HangPoll);
     if (m_Faults.m_Outage == Outage::Refuse) {
       co_await Answer.send(errorResponse(503, "outage"));
       co_return;
@@ -143,7 +143,7 @@
       co_await Answer.send(std::move(Busy));
       co_return;
     }
-    const std::string Rest = below(Request.path(), "/v1/weights/");
+    const std::string Rest = pathAfter(Request.path(), "/v1/weights/");
     const std::size_t Slash = Rest.find('/');
     const auto Found = m_Contents.find(Rest.substr(0, Slash));
     if (Request.m_Method != "GET" || Slash == std::string::npos ||
@@ -162,14 +162,14 @@
 
   asio::awaitable<bool> control(const net::HttpRequest &Request,
                                 net::HttpResponder &Answer) override {
-    const std::string Name = below(Request.path(), "/_standin/weights/");
+    const std::string Name = pathAfter(Request.path(), "/_standin/weights/");
     if (Name.empty() || Request.m_Method != "PUT")
       co_return false;
     co_await Answer.send(createContent(Name, Request.m_Body));
     co_return true;
   }
 
-  void setFaults(SwitchReader &Faults) override {
+  void setFaults(FaultReader &Faults) override {
     m_Faults = {};
     m_Faults.m_RequestsPerSecond = m_Options.m_RequestsPerSecond;
     std::vector<std::uint64_t> Corrupt;
@@ -197,14 +197,14 @@
   net::HttpResponse createContent(const std::string &Name,
                                   const std::string &Body) {
     const json::value Value = parseBody(Body);
-    const json::object *Object = asObject(Value);
+    const json::object *Object = objectOrNull(Value);
     if (!Object)
       return errorResponse(400, "expected a JSON object");
     std::uint64_t Bytes = 0;
     std::uint64_t ChunkBytes = DefaultChunkBytes;
     Content Created;
     Created.m_Seed = XXH64(Name.data(), Name.size(), 0);
-    SwitchReader Reader(*Object);
+    FaultReader Reader(*Object);
     Reader.read("bytes", Bytes);
     Reader.read("chunkBytes", ChunkBytes);
     Reader.read("seed", Created.m_Seed);
@@ -254,7 +254,7 @@
   asio::awaitable<void> sendContent(Content Source,
                                     const net::HttpRequest &Request,
                                     net::HttpResponder &Answer,
-                                    const GoneFlag &Client) {
+                                    const DisconnectFlag &Client) {
     const std::uint64_t Bytes = Source.m_Manifest.m_Bytes;
     const auto Range = parseRange(Request.m_Headers.find("Range"), Bytes);
     if (!Range) {
@@ -291,10 +291,10 @@
   /// 0 if the client has disconnected.
   asio::awaitable<std::uint64_t> awaitNextPiece(std::uint64_t Left,
                                                 std::uint64_t Sent,
-                                                const GoneFlag &Client) {
-    while (isStalled(Sent) && !Client.gone())
-      co_await pause(HangPoll);
-    if (Client.gone())
+                                                const DisconnectFlag &Client) {
+    while (isStalled(Sent) && !Client.disconnected())
+      co_await sleepFor(HangPoll);
+    if (Client.disconnected())
       co_return 0;
     const std::uint64_t Rate = m_Faults.m_BytesPerSecond;
     std::uint64_t Length =
@@ -306,7 +306,7 @@
     const auto SentAt = m_BandwidthLimiter.reserve(Length, Rate);
     asio::steady_timer Timer(co_await asio::this_coro::executor, SentAt);
     co_await Timer.async_wait(asio::as_tuple(asio::use_awaitable));
-    co_return Client.gone() ? 0 : Length;
+    co_return Client.disconnected() ? 0 : Length;
   }
 
   bool isStalled(std::uint64_t Sent) const {
--- a/support/standins/platform.cc
+++ b/support/standins/platform.cc
@@ -46,7 +46,7 @@
 };
 
 ObjectPath parseObjectPath(std::string_view Path) {
-  const std::string Rest = below(Path, ObjectsPrefix);
+  const std::string Rest = pathAfter(Path, ObjectsPrefix);
   const std::size_t Slash = Rest.find('/');
   if (Slash == std::string::npos)
     return {Rest, ""};
@@ -97,10 +97,10 @@
   asio::awaitable<void> serve(net::HttpRequest Request,
                               net::HttpResponder &Answer) override {
     ++m_Calls["total"];
-    GoneFlag Client(Answer);
-    co_await pause(m_Faults.m_Delay);
-    while (m_Faults.m_Outage == Outage::Hang && !Client.gone())
-      co_await pause(HangPoll);
+    DisconnectFlag Client(Answer);
+    co_await sleepFor(m_Faults.m_Delay);
+    while (m_Faults.m_Outage == Outage::Hang && !Client.disconnected())
+      co_await sleepFor(HangPoll);
     if (m_Faults.m_Outage == Outage::Refuse) {
       ++m_Calls["refused"];
       co_await Answer.send(errorResponse(503, "outage"));
@@ -135,7 +135,7 @@
     co_return false;
   }
 
-  void setFaults(SwitchReader &Faults) override {
+  void setFaults(FaultReader &Faults) override {
     m_Faults = {};
     Faults.read("outage", m_Faults.m_Outage);
     Faults.read("delayMs", m_Faults.m_Delay);
@@ -262,7 +262,7 @@
 
   net::HttpResponse setInstances(const std::string &Body) {
     const json::value Value = parseBody(Body);
-    const json::object *Object = asObject(Value);
+    const json::object *Object = objectOrNull(Value);
     if (!Object || !Object->if_contains("items"))
       return errorResponse(400, "expected {\"items\":[...]}");
     m_InstanceLists.push_back({SteadyClock::now(), json::serialize(Value)});
@@ -291,7 +291,7 @@
 
   asio::awaitable<void> watch(const net::HttpRequest &Request,
                               net::HttpResponder &Answer,
-                              const GoneFlag &Client) {
+                              const DisconnectFlag &Client) {
     Watch Self(co_await asio::this_coro::executor);
     const std::string Kinds = Request.query("kinds");
     boost::split(Self.m_Kinds, Kinds, boost::is_any_of(","));
@@ -313,9 +313,9 @@
 
   /// Sends events until the watch is broken or its client disconnects.
   asio::awaitable<void> sendEvents(Watch &Self, net::HttpResponder &Answer,
-                                   const GoneFlag &Client) {
+                                   const DisconnectFlag &Client) {
     bool BookmarkDue = true;
-    while (!Self.m_Broken && !Client.gone()) {
+    while (!Self.m_Broken && !Client.disconnected()) {
       const bool Hanging = m_Faults.m_Outage == Outage::Hang;
       if (!Hanging && !m_Store.canContinueFrom(Self.m_Sent))
         co_return;
@@ -330,7 +330,7 @@
           co_await Self.m_Wake.async_wait(asio::as_tuple(asio::use_awaitable));
       BookmarkDue = !Ec;
       if (Ec && m_Faults.m_ReorderWatchEvents)
-        co_await pause(ReorderWindow);
+        co_await sleepFor(ReorderWindow);
     }
   }
 
--- a/support/standins/service.cc
+++ b/support/standins/service.cc
@@ -1,4 +1,4 @@
-// A plain service that records every execution by its key.
+// Stand-in for a plain service that counts executions by key.
 #include "standins/executions.h"
 #include "standins/standin.h"
 
@@ -14,12 +14,13 @@
 
 struct ServiceFaults {
   std::chrono::milliseconds m_Delay{0};
-  std::uint64_t m_DieBefore = 0; ///< calls whose connection breaks before
-  std::uint64_t m_DieAfter = 0;  ///< and after the run
+  std::uint64_t m_AbortsBefore = 0; ///< calls aborted before execution
+  std::uint64_t m_AbortsAfter = 0;  ///< calls aborted after execution
   bool m_AcceptAndHang = false;
 };
 
-bool takeOne(std::uint64_t &Count) {
+/// Decrements a positive count; returns false if it is zero.
+bool consumeOne(std::uint64_t &Count) {
   if (Count == 0)
     return false;
   --Count;
@@ -38,14 +39,14 @@
       co_return;
     }
     ++m_Calls;
-    GoneFlag Client(Answer);
-    while (m_Faults.m_AcceptAndHang && !Client.gone())
-      co_await pause(HangPoll);
-    if (takeOne(m_Faults.m_DieBefore))
+    DisconnectFlag Client(Answer);
+    while (m_Faults.m_AcceptAndHang && !Client.disconnected())
+      co_await sleepFor(HangPoll);
+    if (consumeOne(m_Faults.m_AbortsBefore))
       co_return Answer.abort();
-    co_await pause(m_Faults.m_Delay);
+    co_await sleepFor(m_Faults.m_Delay);
     const std::uint64_t Execution = m_Executions.record(Request);
-    if (takeOne(m_Faults.m_DieAfter))
+    if (consumeOne(m_Faults.m_AbortsAfter))
       co_return Answer.abort();
     co_await Answer.send(echo(Request, Execution));
   }
@@ -59,11 +60,11 @@
     co_return true;
   }
 
-  void setFaults(SwitchReader &Faults) override {
+  void setFaults(FaultReader &Faults) override {
     m_Faults = {};
     Faults.read("delayMs", m_Faults.m_Delay);
-    Faults.times("dieBefore", m_Faults.m_DieBefore);
-    Faults.times("dieAfter", m_Faults.m_DieAfter);
+    Faults.readCount("dieBefore", m_Faults.m_AbortsBefore);
+    Faults.readCount("dieAfter", m_Faults.m_AbortsAfter);
     Faults.read("acceptAndHang", m_Faults.m_AcceptAndHang);
   }
 
@@ -76,7 +77,7 @@
                                 std::uint64_t Execution) {
     return jsonObjectResponse(200, {{"method", Request.m_Method},
                                     {"target", Request.m_Target},
-                                    {"key", Executions::keyOf(Request)},
+                                    {"key", Executions::callKey(Request)},
                                     {"execution", Execution},
                                     {"body", Request.m_Body}});
   }
--- a/support/standins/standin.cc
+++ b/support/standins/standin.cc
@@ -16,57 +16,57 @@
 
 } // namespace
 
-const json::value *SwitchReader::take(std::string_view Key) {
-  m_Taken.emplace_back(Key);
+const json::value *FaultReader::findKey(std::string_view Key) {
+  m_KnownKeys.emplace_back(Key);
   return m_Faults.if_contains(Key);
 }
 
-void SwitchReader::refuse(std::string_view Key) {
+void FaultReader::reportWrongType(std::string_view Key) {
   m_Problems += std::string(Key) + " has the wrong type; ";
 }
 
-void SwitchReader::read(std::string_view Key, bool &Out) {
-  const json::value *Found = take(Key);
+void FaultReader::read(std::string_view Key, bool &Out) {
+  const json::value *Found = findKey(Key);
   if (!Found)
     return;
   if (!Found->is_bool())
-    return refuse(Key);
+    return reportWrongType(Key);
   Out = Found->get_bool();
 }
 
-void SwitchReader::read(std::string_view Key, std::uint64_t &Out) {
-  const json::value *Found = take(Key);
+void FaultReader::read(std::string_view Key, std::uint64_t &Out) {
+  const json::value *Found = findKey(Key);
   if (!Found)
     return;
   boost::system::error_code Ec;
   const auto Number = Found->to_number<std::uint64_t>(Ec);
   if (Ec)
-    return refuse(Key);
+    return reportWrongType(Key);
   Out = Number;
 }
 
-void SwitchReader::read(std::string_view Key, std::chrono::milliseconds &Out) {
+void FaultReader::read(std::string_view Key, std::chrono::milliseconds &Out) {
   std::uint64_t Number = static_cast<std::uint64_t>(Out.count());
   read(Key, Number);
   Out = std::chrono::milliseconds(Number);
 }
 
-void SwitchReader::read(std::string_view Key, std::vector<std::uint64_t> &Out) {
-  const json::value *Found = take(Key);
+void FaultReader::read(std::string_view Key, std::vector<std::uint64_t> &Out) {
+  const json::value *Found = findKey(Key);
   if (!Found)
     return;
   if (!Found->is_array())
-    return refuse(Key);
+    return reportWrongType(Key);
   for (const json::value &Each : Found->get_array()) {
     boost::system::error_code Ec;
     Out.push_back(Each.to_number<std::uint64_t>(Ec));
     if (Ec)
-      return refuse(Key);
+      return reportWrongType(Key);
   }
 }
 
-void SwitchReader::read(std::string_view Key, Outage &Out) {
-  const json::value *Found = take(Key);
+void FaultReader::read(std::string_view Key, Outage &Out) {
+  const json::value *Found = findKey(Key);
   if (!Found)
     return;
   if (Found->is_bool())
@@ -74,34 +74,35 @@
   else if (*Found == "hang")
     Out = Outage::Hang;
   else
-    refuse(Key);
+    reportWrongType(Key);
 }
 
-void SwitchReader::times(std::string_view Key, std::uint64_t &Out) {
+void FaultReader::readCount(std::string_view Key, std::uint64_t &Out) {
   const json::value *Found = m_Faults.if_contains(Key);
   if (!Found || !Found->is_bool())
     return read(Key, Out);
-  take(Key);
+  findKey(Key);
   Out = Found->get_bool() ? std::numeric_limits<std::uint64_t>::max() : 0;
 }
 
-std::string SwitchReader::finish() {
+std::string FaultReader::finish() {
   for (const json::key_value_pair &Each : m_Faults) {
     const std::string Key(Each.key());
-    if (std::find(m_Taken.begin(), m_Taken.end(), Key) == m_Taken.end())
+    if (std::find(m_KnownKeys.begin(), m_KnownKeys.end(), Key) ==
+        m_KnownKeys.end())
       m_Problems += Key + " is unknown; ";
   }
   return m_Problems;
 }
 
-asio::awaitable<void> pause(std::chrono::milliseconds Length) {
+asio::awaitable<void> sleepFor(std::chrono::milliseconds Length) {
   if (Length.count() <= 0)
     co_return;
   asio::steady_timer Timer(co_await asio::this_coro::executor, Length);
   co_await Timer.async_wait(asio::as_tuple(asio::use_awaitable));
 }
 
-std::string below(std::string_view Path, std::string_view Prefix) {
+std::string pathAfter(std::string_view Path, std::string_view Prefix) {
   if (!Path.starts_with(Prefix))
     return {};
   return std::string(Path.substr(Prefix.size()));
@@ -122,7 +123,7 @@
   return Ec ? json::value() : Value;
 }
 
-const json::object *asObject(const json::value &Value) {
+const json::object *objectOrNull(const json::value &Value) {
   return Value.if_object();
 }
 
@@ -149,10 +150,10 @@
 
 net::HttpResponse StandIn::replaceFaults(const std::string &Body) {
   const json::value Value = parseBody(Body);
-  const json::object *Object = asObject(Value);
+  const json::object *Object = objectOrNull(Value);
   if (!Object)
     return errorResponse(400, "expected a JSON object");
-  SwitchReader Reader(*Object);
+  FaultReader Reader(*Object);
   setFaults(Reader);
   const std::string Problems = Reader.finish();
   if (!Problems.empty())
--- a/support/standins/standin.h
+++ b/support/standins/standin.h
@@ -1,4 +1,5 @@
-// What all stand-ins share: a loop and a server each, and switchable faults.
+// Base of all stand-ins: an event loop, an HTTP server and faults that can be
+// switched at run time.
 #pragma once
 
 #include "net/http.h"
@@ -17,59 +18,63 @@
 
 namespace asio = boost::asio;
 
+/// How a stand-in fails all requests: with 503, or without an answer.
 enum class Outage { None, Refuse, Hang };
 
-/// Takes the known keys out of a document of switches; finish() names the
-/// others.
-class SwitchReader {
+/// Reads fault switches from a JSON object. finish() reports unknown keys and
+/// values of the wrong type.
+class FaultReader {
 public:
-  explicit SwitchReader(const boost::json::object &Faults) : m_Faults(Faults) {}
+  explicit FaultReader(const boost::json::object &Faults) : m_Faults(Faults) {}
 
   void read(std::string_view Key, bool &Out);
   void read(std::string_view Key, std::uint64_t &Out);
   void read(std::string_view Key, std::chrono::milliseconds &Out);
   void read(std::string_view Key, std::vector<std::uint64_t> &Out);
   void read(std::string_view Key, Outage &Out);
-  /// A number of times, or true for always.
-  void times(std::string_view Key, std::uint64_t &Out);
-  /// The faults of the document itself, empty when good.
+  /// Reads a number of calls to affect, or a boolean: true for all, false for
+  /// none.
+  void readCount(std::string_view Key, std::uint64_t &Out);
+  /// Returns the problems of the document, or an empty string if it is valid.
   std::string finish();
 
 private:
-  const boost::json::value *take(std::string_view Key);
-  void refuse(std::string_view Key);
+  const boost::json::value *findKey(std::string_view Key);
+  void reportWrongType(std::string_view Key);
 
   const boost::json::object &m_Faults;
-  std::vector<std::string> m_Taken;
+  std::vector<std::string> m_KnownKeys;
   std::string m_Problems;
 };
 
-/// Notices when the client of one request goes away.
-class GoneFlag {
+/// Records whether the client of one request has disconnected.
+class DisconnectFlag {
 public:
-  explicit GoneFlag(net::HttpResponder &Answer)
-      : m_Gone(std::make_shared<bool>(false)) {
-    Answer.onGone([Gone = m_Gone] { *Gone = true; });
+  explicit DisconnectFlag(net::HttpResponder &Answer)
+      : m_Disconnected(std::make_shared<bool>(false)) {
+    Answer.onGone([Flag = m_Disconnected] { *Flag = true; });
   }
-  bool gone() const { return *m_Gone; }
+  bool disconnected() const { return *m_Disconnected; }
 
 private:
-  std::shared_ptr<bool> m_Gone;
+  std::shared_ptr<bool> m_Disconnected;
 };
 
-asio::awaitable<void> pause(std::chrono::milliseconds Length);
+asio::awaitable<void> sleepFor(std::chrono::milliseconds Length);
 
-/// The last part of a path below a prefix; empty when it is not below it.
-std::string below(std::string_view Path, std::string_view Prefix);
+/// Returns the part of a path after a prefix, or an empty string if the path
+/// does not start with it.
+std::string pathAfter(std::string_view Path, std::string_view Prefix);
 
 net::HttpResponse errorResponse(unsigned Status, std::string_view Message);
 net::HttpResponse jsonObjectResponse(unsigned Status,
                                      const boost::json::object &Value);
-/// The body as a JSON object; empty optional when it is none.
-const boost::json::object *asObject(const boost::json::value &Value);
+/// Returns the value as an object, or null if it is none.
+const boost::json::object *objectOrNull(const boost::json::value &Value);
+/// Parses a body as JSON. Returns null if it is invalid.
 boost::json::value parseBody(const std::string &Body);
 
-/// One stand-in: everything of it runs on one loop, so it needs no locks.
+/// One stand-in. All of its code runs on one event loop, so it needs no locks.
 class StandIn {
 public:
   explicit StandIn(net::HttpLimits Limits = {});
@@ -78,20 +83,22 @@
   StandIn &operator=(const StandIn &) = delete;
 
   virtual std::string_view kind() const = 0;
-  /// Listens and starts; gives the bound address.
+  /// Listens on the address, starts the event loop and returns the bound
+  /// address.
   Result<std::string> start(const std::string &Address);
   void stop();
 
 protected:
   virtual asio::awaitable<void> serve(net::HttpRequest Request,
                                       net::HttpResponder &Answer) = 0;
-  /// Calls below /_standin/ that only this kind has; false: none such.
+  /// Handles the requests under /_standin/ that are specific to this kind.
+  /// Returns false if there is no such path.
   virtual asio::awaitable<bool> control(const net::HttpRequest &,
                                         net::HttpResponder &) {
     co_return false;
   }
-  /// Replaces all faults.
-  virtual void setFaults(SwitchReader &Faults) = 0;
+  /// Replaces all faults; those without a switch are reset.
+  virtual void setFaults(FaultReader &Faults) = 0;
   virtual boost::json::object counters() const = 0;
 
   net::IoThreads m_Threads{0};
--- a/support/standins/token.h
+++ b/support/standins/token.h
@@ -1,5 +1,5 @@
-// The answers of the engine stand-in as pure functions, so that tests and
-// load tools can check every token.
+// Answers of the engine stand-in as pure functions, so that tests and load
+// tools can check every token.
 #pragma once
 
 #include <boost/json.hpp>
@@ -15,8 +15,8 @@
 inline constexpr std::uint32_t DefaultMaxTokens = 16;
 inline constexpr std::size_t CachedPrefixBytes = 256;
 
-/// The token at an index of the answer to a prompt under weights with that
-/// whole digest (hex).
+/// Returns the token at an index of the answer to a prompt. Digest is the whole
+/// digest (hex) of the weights.
 inline std::string tokenAt(std::string_view Prompt, std::string_view Digest,
                            std::uint32_t Index) {
   const XXH64_hash_t Seed = XXH64(Digest.data(), Digest.size(), Index);
@@ -26,7 +26,7 @@
   return Text;
 }
 
-/// The whole answer's text.
+/// Returns the text of the complete answer.
 inline std::string answerText(std::string_view Prompt, std::string_view Digest,
                               std::uint32_t Tokens) {
   std::string Text;
@@ -35,7 +35,8 @@
   return Text;
 }
 
-/// The prompt of a chat completion: its messages' contents, one a line.
+/// Returns the prompt of a chat completion: the contents of its messages, one
+/// per line.
 inline std::string promptOf(const boost::json::object &Body) {
   std::string Prompt;
   const boost::json::value *Messages = Body.if_contains("messages");
@@ -52,7 +53,7 @@
   return Prompt;
 }
 
-/// Names the prompt's prefix in cache events.
+/// Returns the hash that identifies a prompt's prefix in cache events.
 inline std::uint64_t prefixHash(std::string_view Prompt) {
   const std::string_view Prefix = Prompt.substr(0, CachedPrefixBytes);
   return XXH64(Prefix.data(), Prefix.size(), 0);
--- a/test/standin-contract-test.cc
+++ b/test/standin-contract-test.cc
@@ -15,9 +15,9 @@
 const std::string Create = "If-None-Match: *";
 const std::string Pool = "/v1/objects/pools/a";
 
-HttpStep match(const std::string &Method, const std::string &Revision,
-               const std::string &Body, unsigned Status,
-               const std::string &Contains = "") {
+HttpStep conditionalWrite(const std::string &Method,
+                          const std::string &Revision, const std::string &Body,
+                          unsigned Status, const std::string &Contains = "") {
   return {Method, Pool,   "If-Match: \"" + Revision + "\"",
           Body,   Status, Contains};
 }
@@ -31,71 +31,74 @@
 INSTANTIATE_TEST_SUITE_P(
     Rows, PlatformContract,
     testing::Values(
-        HttpScript{"CreatesOnce",
+        HttpScript{"RejectsASecondCreate",
                    {CreatePool,
                     {"PUT", Pool, Create, "{}", 409, R"("revision":1)"},
                     {"GET", Pool, "", "", 200, R"("value":{"x":1})"}}},
-        HttpScript{"UpdatesOnTheSeenRevisionOnly",
-                   {match("PUT", "1", "{}", 404), CreatePool,
-                    match("PUT", "1", R"({"x":2})", 200, R"({"revision":2})"),
-                    match("PUT", "1", R"({"x":3})", 409, R"("value":{"x":2})"),
-                    match("PUT", "\"", "{}", 400)}},
-        HttpScript{"DeletesOnTheSeenRevisionOnly",
-                   {CreatePool,
-                    match("DELETE", "7", "", 409),
-                    match("DELETE", "1", "", 200, R"({"revision":2})"),
-                    match("DELETE", "1", "", 404),
-                    {"GET", Pool, "", "", 404, ""}}},
-        HttpScript{"RefusesAWriteWithoutAPrecondition",
+        HttpScript{"UpdatesAtTheExpectedRevisionOnly",
+                   {conditionalWrite("PUT", "1", "{}", 404), CreatePool,
+                    conditionalWrite("PUT", "1", R"({"x":2})", 200,
+                                     R"({"revision":2})"),
+                    conditionalWrite("PUT", "1", R"({"x":3})", 409,
+                                     R"("value":{"x":2})"),
+                    conditionalWrite("PUT", "\"", "{}", 400)}},
+        HttpScript{
+            "DeletesAtTheExpectedRevisionOnly",
+            {CreatePool,
+             conditionalWrite("DELETE", "7", "", 409),
+             conditionalWrite("DELETE", "1", "", 200, R"({"revision":2})"),
+             conditionalWrite("DELETE", "1", "", 404),
+             {"GET", Pool, "", "", 404, ""}}},
+        HttpScript{"RejectsAWriteWithoutAPrecondition",
                    {{"PUT", Pool, "", "{}", 428, ""},
                     CreatePool,
                     {"DELETE", Pool, "", "", 428, ""}}},
-        HttpScript{"RefusesWhatIsNotJson",
+        HttpScript{"RejectsInvalidJson",
                    {{"PUT", Pool, Create, "{", 400, ""},
                     {"GET", Pool, "", "", 404, ""}}},
         HttpScript{
-            "RefusesAValueAboveOneMebibyte",
+            "RejectsAValueAboveOneMebibyte",
             {{"PUT", Pool, Create,
               "\"" + std::string(1024 * 1024 - 1, 'x') + "\"", 413, ""},
              {"PUT", Pool, Create,
               "\"" + std::string(1024 * 1024 - 2, 'x') + "\"", 201, ""}}},
-        HttpScript{"ListsAWholeKindAsOfOneRevision",
+        HttpScript{"ListsAKindAsOfOneRevision",
                    {CreatePool,
                     {"PUT", "/v1/objects/leases/b", Create, "{}", 201, ""},
                     {"GET", "/v1/objects/pools", "", "", 200,
                      R"({"revision":2,"items":[{"kind":"pools","name":"a")"},
                     {"GET", "/v1/objects/claims", "", "", 200,
                      R"({"revision":2,"items":[]})"}}},
-        HttpScript{"OutageRefusesWithoutEffect",
+        HttpScript{"OutageRejectsWithoutEffect",
                    {CreatePool,
                     faults(R"({"outage":true})"),
                     {"GET", Pool, "", "", 503, ""},
-                    match("PUT", "1", "{}", 503),
+                    conditionalWrite("PUT", "1", "{}", 503),
                     faults("{}"),
                     {"GET", Pool, "", "", 200, R"("revision":1)"}}},
-        HttpScript{"LosesTheAnswerOfAWriteThatTookEffect",
+        HttpScript{"DropsTheAnswerOfASuccessfulWrite",
                    {CreatePool,
                     faults(R"({"loseAnswers":1})"),
-                    match("PUT", "1", R"({"x":2})", 0),
+                    conditionalWrite("PUT", "1", R"({"x":2})", 0),
                     {"GET", Pool, "", "", 200, R"("revision":2)"},
-                    match("PUT", "2", R"({"x":3})", 200)}},
+                    conditionalWrite("PUT", "2", R"({"x":3})", 200)}},
         HttpScript{
-            "ReadsAnswerAsOfSomeRevisionsAgo",
+            "StaleReadsReturnAnEarlierRevision",
             {CreatePool,
-             match("PUT", "1", R"({"x":2})", 200),
+             conditionalWrite("PUT", "1", R"({"x":2})", 200),
              faults(R"({"staleReadRevisions":1})"),
              {"GET", Pool, "", "", 200, R"("value":{"x":1})"},
              {"GET", "/v1/objects/pools", "", "", 200,
               R"({"revision":1,"items":[{"kind":"pools","name":"a","revision":1)"},
              faults(R"({"staleReadRevisions":9})"),
              {"GET", Pool, "", "", 404, ""},
-             match("PUT", "2", R"({"x":3})", 200)}},
-        HttpScript{"RefusesAWatchThatIsTooOld",
+             conditionalWrite("PUT", "2", R"({"x":3})", 200)}},
+        HttpScript{"RejectsAWatchFromACompactedRevision",
                    {CreatePool,
-                    match("PUT", "1", "{}", 200),
+                    conditionalWrite("PUT", "1", "{}", 200),
                     {"POST", "/_standin/compact", "", "", 200, ""},
                     {"GET", "/v1/watch?kinds=pools&since=1", "", "", 410, ""}}},
-        HttpScript{"ListOfInstancesLags",
+        HttpScript{"InstanceListLags",
                    {faults(R"({"instanceListLagMs":3600000})"),
                     {"PUT", "/_standin/instances", "",
                      R"({"items":[{"name":"i"}]})", 200, ""},
@@ -112,7 +115,7 @@
              {"GET", "/_standin/counters", "", "", 200, R"("get":1)"},
              {"GET", "/_standin/counters", "", "", 200, R"("refused":1)"},
              {"GET", "/_standin/counters", "", "", 200, R"("total":3)"}}},
-        HttpScript{"RefusesUnknownFaults",
+        HttpScript{"RejectsInvalidFaults",
                    {{"PUT", "/_standin/faults", "", R"({"outrage":true})", 422,
                      "outrage"},
                     {"PUT", "/_standin/faults", "", R"({"delayMs":"x"})", 422,
@@ -122,14 +125,14 @@
 class StandInWatch : public testing::Test {
 protected:
   void SetUp() override {
-    const boost::json::object Said = m_Process.announcement();
-    m_Address = Said.at("address").as_string().c_str();
+    const boost::json::object Announcement = m_Process.announcement();
+    m_Address = Announcement.at("address").as_string().c_str();
     run(m_Address, {"three writes",
-                    {CreatePool, match("PUT", "1", "{}", 200),
-                     match("DELETE", "2", "", 200)}});
+                    {CreatePool, conditionalWrite("PUT", "1", "{}", 200),
+                     conditionalWrite("DELETE", "2", "", 200)}});
   }
 
-  /// The first lines of a watch over the writes, as "type revision".
+  /// Returns the first events of a watch, each as "type revision".
   std::vector<std::string> watch(const std::string &Since, std::size_t Count) {
     std::vector<std::string> Out;
     for (const std::string &Line : readLines(
@@ -141,27 +144,27 @@
     return Out;
   }
 
-  using Words = std::vector<std::string>;
+  using Lines = std::vector<std::string>;
   Child m_Process{"deckpitch-standins", {"--kind=platform"}};
   std::string m_Address;
 };
 
-TEST_F(StandInWatch, ContinuesInOrderAndThenBookmarks) {
-  EXPECT_EQ(watch("0", 4), (Words{"put 1", "put 2", "delete 3", "bookmark 3"}));
-  EXPECT_EQ(watch("2", 2), (Words{"delete 3", "bookmark 3"}));
+TEST_F(StandInWatch, ContinuesInOrderAndThenSendsBookmarks) {
+  EXPECT_EQ(watch("0", 4), (Lines{"put 1", "put 2", "delete 3", "bookmark 3"}));
+  EXPECT_EQ(watch("2", 2), (Lines{"delete 3", "bookmark 3"}));
 }
 
 TEST_F(StandInWatch, RepeatsEvents) {
   ASSERT_TRUE(setFaults(m_Address, R"({"repeatWatchEvents":true})"));
-  EXPECT_EQ(watch("1", 4), (Words{"put 2", "put 2", "delete 3", "delete 3"}));
+  EXPECT_EQ(watch("1", 4), (Lines{"put 2", "put 2", "delete 3", "delete 3"}));
 }
 
 TEST_F(StandInWatch, ReordersEvents) {
   ASSERT_TRUE(setFaults(m_Address, R"({"reorderWatchEvents":true})"));
-  EXPECT_EQ(watch("0", 3), (Words{"delete 3", "put 2", "put 1"}));
+  EXPECT_EQ(watch("0", 3), (Lines{"delete 3", "put 2", "put 1"}));
 }
 
-TEST_F(StandInWatch, DeliversAWriteToAnOpenWatchAndBreaksIt) {
+TEST_F(StandInWatch, DeliversAWriteToAnOpenWatchUntilItIsDropped) {
   std::vector<std::string> Seen;
   std::thread Watcher([&] { Seen = watch("3", 1'000'000); });
   EXPECT_TRUE(
@@ -183,7 +186,7 @@
                            "",    R"({"bytes":100,"chunkBytes":40,"seed":7})",
                            200,   R"("bytes":100)"};
 
-HttpStep content(const std::string &Range, unsigned Status) {
+HttpStep readContent(const std::string &Range, unsigned Status) {
   return {"GET", "/v1/weights/m@1/content", "Range: bytes=" + Range, "", Status,
           ""};
 }
@@ -195,27 +198,27 @@
 INSTANTIATE_TEST_SUITE_P(
     Rows, OriginContract,
     testing::Values(
-        HttpScript{"GivesManifestAndRanges",
+        HttpScript{"ServesManifestAndRanges",
                    {{"GET", "/v1/weights/m@1/manifest", "", "", 404, ""},
                     MakeContent,
                     {"GET", "/v1/weights/m@1/manifest", "", "", 200,
                      R"("weights":"m@1")"},
-                    content("0-9", 206),
-                    content("80-200", 206),
-                    content("100-", 416),
-                    content("9-3", 416),
-                    content("x-3", 416),
+                    readContent("0-9", 206),
+                    readContent("80-200", 206),
+                    readContent("100-", 416),
+                    readContent("9-3", 416),
+                    readContent("x-3", 416),
                     bytesSent("30")}},
         HttpScript{"OutageSendsNothing",
                    {MakeContent, faults(R"({"outage":true})"),
-                    content("0-9", 503), bytesSent("0"), faults("{}"),
-                    content("0-9", 206)}},
+                    readContent("0-9", 503), bytesSent("0"), faults("{}"),
+                    readContent("0-9", 206)}},
         HttpScript{
-            "RefusesContentOfNoSize",
+            "RejectsEmptyContent",
             {{"PUT", "/_standin/weights/m@1", "", R"({"bytes":0})", 422, ""}}},
-        HttpScript{"ShapedLinkSendsTheSame",
+        HttpScript{"BandwidthLimitKeepsTheContent",
                    {MakeContent, faults(R"({"bytesPerSecond":100000})"),
-                    content("0-99", 206), bytesSent("100")}}),
+                    readContent("0-99", 206), bytesSent("100")}}),
     nameOf);
 
 class StandInOrigin : public testing::Test {
@@ -225,11 +228,11 @@
     run(m_Address, {"content", {MakeContent}});
   }
 
-  Outcome<net::HttpResponse> read(std::chrono::milliseconds Patience) {
+  Outcome<net::HttpResponse> read(std::chrono::milliseconds ReadTimeout) {
     net::HttpRequest Request;
     Request.m_Target = "/v1/weights/m@1/content";
     net::CallLimits Limits;
-    Limits.m_BetweenBytes = Patience;
+    Limits.m_BetweenBytes = ReadTimeout;
     return net::callAndWait(m_Address, std::move(Request), Limits);
   }
 
@@ -237,7 +240,7 @@
   std::string m_Address;
 };
 
-TEST_F(StandInOrigin, CorruptsJustTheNamedChunks) {
+TEST_F(StandInOrigin, CorruptsOnlyTheConfiguredChunks) {
   const std::string Good = standins::contentBytes(7, 0, 100);
   EXPECT_EQ(read(WaitCap)->m_Body, Good);
   ASSERT_TRUE(setFaults(m_Address, R"({"corruptChunks":[1]})"));
@@ -248,19 +251,19 @@
   EXPECT_EQ(Bad.substr(80), Good.substr(80));
 }
 
-TEST_F(StandInOrigin, StallsWithoutClosingUntilHealed) {
+TEST_F(StandInOrigin, StallsWithoutClosingUntilTheFaultIsCleared) {
   ASSERT_TRUE(setFaults(m_Address, R"({"stallAfterBytes":10})"));
   EXPECT_FALSE(read(std::chrono::milliseconds(200)));
   EXPECT_EQ(counterOf(m_Address, "bytes"), 10U);
-  std::thread Healer([&] {
+  std::thread FaultClearer([&] {
     EXPECT_TRUE(
         eventually([&] { return counterOf(m_Address, "bytes") == 20; }));
     EXPECT_TRUE(setFaults(m_Address, "{}"));
   });
-  const auto Whole = read(WaitCap);
-  Healer.join();
-  ASSERT_TRUE(Whole);
-  EXPECT_EQ(Whole->m_Body, standins::contentBytes(7, 0, 100));
+  const auto Complete = read(WaitCap);
+  FaultClearer.join();
+  ASSERT_TRUE(Complete);
+  EXPECT_EQ(Complete->m_Body, standins::contentBytes(7, 0, 100));
 }
 
 class StoreContract : public StandInScript {};
@@ -268,11 +271,11 @@
 
 INSTANTIATE_TEST_SUITE_P(Rows, StoreContract,
                          testing::Values(HttpScript{
-                             "RefusesBeyondItsRate",
+                             "RejectsRequestsBeyondItsRate",
                              {MakeContent, faults(R"({"requestsPerSecond":1})"),
-                              content("0-9", 206), content("0-9", 429),
+                              readContent("0-9", 206), readContent("0-9", 429),
                               faults(R"({"requestsPerSecond":0})"),
-                              content("0-9", 206)}}),
+                              readContent("0-9", 206)}}),
                          nameOf);
 
 class ServiceContract : public StandInScript {};
@@ -283,7 +286,7 @@
 HttpStep executions(const std::string &List) {
   return {"GET", "/_standin/executions", "", "", 200, List};
 }
-HttpStep broken(HttpStep Step) {
+HttpStep expectAborted(HttpStep Step) {
   Step.m_Status = 0;
   Step.m_Contains.clear();
   return Step;
@@ -293,18 +296,19 @@
     Rows, ServiceContract,
     testing::Values(
         HttpScript{
-            "RecordsByKeyElseByRequestId",
+            "CountsByKeyElseByRequestId",
             {Book,
              {"GET", "/x", "X-Request-Id: r", "", 200, ""},
              executions(R"([{"key":"k","count":1},{"key":"r","count":1}])")}},
-        HttpScript{"DiesBeforeTheRun",
-                   {faults(R"({"dieBefore":1})"), broken(Book),
+        HttpScript{"AbortsBeforeExecution",
+                   {faults(R"({"dieBefore":1})"), expectAborted(Book),
                     executions("[]"), Book,
                     executions(R"([{"key":"k","count":1}])")}},
-        HttpScript{"DiesAfterTheRun",
-                   {faults(R"({"dieAfter":true})"), broken(Book), broken(Book),
+        HttpScript{"AbortsAfterExecution",
+                   {faults(R"({"dieAfter":true})"), expectAborted(Book),
+                    expectAborted(Book),
                     executions(R"([{"key":"k","count":2}])")}},
-        HttpScript{"HealthIsNoRun",
+        HttpScript{"HealthCheckIsNotAnExecution",
                    {{"GET", "/v1/health", "", "", 200, ""}, executions("[]")}}),
     nameOf);
 
