--- a/support/load/chat-client.cc
+++ b/support/load/chat-client.cc
@@ -18,10 +18,10 @@
 constexpr std::string_view EventPrefix = "data: ";
 constexpr std::string_view EventEnd = "\n\n";
 constexpr std::string_view LastEvent = "[DONE]";
-constexpr std::chrono::milliseconds ConnectLimit{2'000};
+constexpr std::chrono::milliseconds ConnectTimeout{2'000};
 constexpr unsigned Ok = 200;
 
-json::object bodyOf(const ChatRequest &Request) {
+json::object requestBody(const ChatRequest &Request) {
   const json::object Message{{"role", "user"}, {"content", Request.m_Prompt}};
   json::array Messages;
   Messages.push_back(Message);
@@ -29,8 +29,8 @@
                     {"stream", true},
                     {"max_tokens", Request.m_Tokens},
                     {"messages", std::move(Messages)}};
-  if (Request.m_From > 0)
-    Body["resume_from"] = Request.m_From;
+  if (Request.m_ResumeFrom > 0)
+    Body["resume_from"] = Request.m_ResumeFrom;
   return Body;
 }
 
@@ -38,7 +38,7 @@
   net::HttpRequest Out;
   Out.m_Method = "POST";
   Out.m_Target = "/v1/chat/completions";
-  Out.m_Body = json::serialize(bodyOf(Request));
+  Out.m_Body = json::serialize(requestBody(Request));
   Out.m_Headers.add("Content-Type", "application/json");
   Out.m_Headers.add("X-Deadline-Ms",
                     std::to_string(Request.m_Deadline.count()));
@@ -57,15 +57,16 @@
   return Found && Found->is_string() ? Found->get_string().c_str() : "";
 }
 
-/// Follows the events of one answer.
+/// Parses and verifies the events of one streamed answer.
 class AnswerReader {
 public:
   explicit AnswerReader(const ChatRequest &Request)
-      : m_Request(Request), m_Prompt(standins::promptOf(bodyOf(Request))),
-        m_Next(Request.m_From) {}
+      : m_Request(Request), m_Prompt(standins::promptOf(requestBody(Request))),
+        m_Next(Request.m_ResumeFrom) {}
 
-  /// False once the answer is wrong or at its end.
-  bool take(const std::string &Piece) {
+  /// Appends received bytes. Returns false once the answer has ended or is
+  /// wrong.
+  bool consume(const std::string &Piece) {
     m_Buffer += Piece;
     while (!m_Done) {
       const std::size_t End = m_Buffer.find(EventEnd);
@@ -81,20 +82,20 @@
   ChatAnswer &answer() { return m_Answer; }
 
 private:
-  /// False at the end of the answer.
+  /// Returns false if the event ends the answer or is wrong.
   bool readEvent(const std::string &Event) {
     if (!Event.starts_with(EventPrefix))
-      return true; // comments keep connections open
+      return true; // a comment that keeps the connection alive
     const std::string Data = Event.substr(EventPrefix.size());
     if (Data == LastEvent) {
       const bool All = m_Next == m_Request.m_Tokens;
       return finish(All ? Verdict::Whole : Verdict::Broken,
-                    All ? "" : "ended after too few tokens");
+                    All ? "" : "stream ended after too few tokens");
     }
     boost::system::error_code Ec;
     const json::value Value = json::parse(Data, Ec);
     if (Ec || !Value.is_object())
-      return finish(Verdict::Broken, "an event is not JSON");
+      return finish(Verdict::Broken, "event is not a JSON object");
     return readToken(Value.get_object());
   }
 
@@ -106,17 +107,18 @@
     }
     const json::value *Index = Event.if_contains("index");
     if (!Index || *Index != m_Next)
-      return finish(Verdict::Mixed, "a token is missing or came twice");
+      return finish(Verdict::Mixed, "token is missing or repeated");
     const std::string Expected =
         standins::tokenAt(m_Prompt, m_Answer.m_Digest, m_Next);
-    if (Digest != m_Answer.m_Digest || contentOf(Event) != Expected)
-      return finish(Verdict::Mixed, "a token is of other weights or prompt");
+    if (Digest != m_Answer.m_Digest || deltaContent(Event) != Expected)
+      return finish(Verdict::Mixed,
+                    "token does not match the weights or the prompt");
     ++m_Answer.m_Tokens;
     ++m_Next;
     return true;
   }
 
-  static std::string contentOf(const json::object &Event) {
+  static std::string deltaContent(const json::object &Event) {
     const json::value *Choices = Event.if_contains("choices");
     if (!Choices || !Choices->is_array() || Choices->get_array().empty() ||
         !Choices->get_array().front().is_object())
@@ -141,7 +143,8 @@
   bool m_Done = false;
 };
 
-ChatAnswer refusalOf(unsigned Status, const net::HttpHeaders &Headers) {
+/// Returns the answer for a response with an error status.
+ChatAnswer errorAnswer(unsigned Status, const net::HttpHeaders &Headers) {
   ChatAnswer Out;
   Out.m_Status = Status;
   const std::string_view Outcome = Headers.find("X-Outcome");
@@ -159,7 +162,7 @@
 
 } // namespace
 
-std::string_view nameOf(Verdict Value) {
+std::string_view verdictName(Verdict Value) {
   switch (Value) {
   case Verdict::Whole:
     return "whole";
@@ -175,11 +178,12 @@
   return "broken";
 }
 
-asio::awaitable<ChatAnswer> ask(net::HttpClient &Http, std::string Entry,
-                                ChatRequest Request) {
+asio::awaitable<ChatAnswer> requestCompletion(net::HttpClient &Http,
+                                              std::string Entry,
+                                              ChatRequest Request) {
   const auto Begin = SteadyClock::now();
   net::CallLimits Limits;
-  Limits.m_Connect = ConnectLimit;
+  Limits.m_Connect = ConnectTimeout;
   Limits.m_FirstByte = Request.m_Deadline;
   Limits.m_BetweenBytes = Request.m_Deadline;
   auto Opened = co_await Http.open(Entry, httpRequest(Request), Limits);
@@ -190,7 +194,7 @@
   }
   net::HttpStream &Stream = **Opened;
   if (Stream.status() != Ok) {
-    Failed = refusalOf(Stream.status(), Stream.headers());
+    Failed = errorAnswer(Stream.status(), Stream.headers());
     co_return Failed;
   }
   AnswerReader Reader(Request);
@@ -199,25 +203,27 @@
     auto Piece = co_await Stream.read();
     if (!Piece || Piece->empty()) {
       Reader.answer().m_Detail =
-          Piece ? "ended without its last event" : Piece.error().m_Message;
+          Piece ? "stream ended without [DONE]" : Piece.error().m_Message;
       break;
     }
-    More = Reader.take(*Piece);
-    const bool IsFirst = Reader.answer().m_FirstToken.count() == 0;
+    More = Reader.consume(*Piece);
+    const bool IsFirst = Reader.answer().m_TimeToFirstToken.count() == 0;
     if (IsFirst && Reader.answer().m_Tokens > 0)
-      Reader.answer().m_FirstToken = SteadyClock::now() - Begin;
+      Reader.answer().m_TimeToFirstToken = SteadyClock::now() - Begin;
   }
   if (Reader.answer().m_Verdict == Verdict::Whole)
-    co_await Stream.read(); // the end, so that the connection is kept
+    co_await Stream.read(); // the end; the connection is then reusable
   Reader.answer().m_Status = Ok;
   co_return Reader.answer();
 }
 
 namespace {
 
-asio::awaitable<void> askInto(net::HttpClient &Http, std::string Entry,
-                              ChatRequest Request, ChatAnswer &Out) {
-  Out = co_await ask(Http, std::move(Entry), std::move(Request));
+asio::awaitable<void> requestCompletionInto(net::HttpClient &Http,
+                                            std::string Entry,
+                                            ChatRequest Request,
+                                            ChatAnswer &Out) {
+  Out = co_await requestCompletion(Http, std::move(Entry), std::move(Request));
 }
 
 } // namespace
@@ -226,7 +232,8 @@
   asio::io_context Io;
   net::HttpClient Http;
   ChatAnswer Answer;
-  asio::co_spawn(Io, askInto(Http, Entry, std::move(Request), Answer),
+  asio::co_spawn(Io,
+                 requestCompletionInto(Http, Entry, std::move(Request), Answer),
                  asio::detached);
   Io.run();
   return Answer;
@@ -239,7 +246,7 @@
     net::HttpRequest Request;
     Request.m_Target = "/v1/addresses";
     net::CallLimits Limits;
-    Limits.m_FirstByte = ConnectLimit;
+    Limits.m_FirstByte = ConnectTimeout;
     auto Answer = co_await Http.call(Each, std::move(Request), Limits);
     if (!Answer || Answer->m_Status != Ok)
       continue;
--- a/support/load/chat-client.h
+++ b/support/load/chat-client.h
@@ -1,4 +1,5 @@
-// Asks for chat completions and checks every token of the answers.
+// Client that requests chat completions and verifies every token of the
+// answers.
 #pragma once
 
 #include "net/http.h"
@@ -14,26 +15,28 @@
 
 namespace asio = boost::asio;
 
+/// Result of the verification of one answer.
 enum class Verdict {
-  Whole,   ///< every token is right, to the end
-  NotRun,  ///< told that it was not run
-  Unknown, ///< told that its outcome is unknown
-  Broken,  ///< the answer ended early, or no answer came
-  Mixed,   ///< a token that no single version of weights gives
+  Whole,   ///< the answer is complete and every token is correct
+  NotRun,  ///< reported as not run
+  Unknown, ///< reported as having an unknown outcome
+  Broken,  ///< no answer, or an answer that ended early
+  Mixed,   ///< a token is missing, repeated or not of the answer's weights
 };
 
-std::string_view nameOf(Verdict Value);
+std::string_view verdictName(Verdict Value);
 
 struct ChatRequest {
-  std::string m_Model; ///< pool or model
+  std::string m_Model; ///< name of a pool or model
   std::string m_Prompt;
   std::uint32_t m_Tokens = 16;
   std::string m_Organisation;
   std::string m_Priority = "normal";
   std::chrono::milliseconds m_Deadline{30'000};
-  std::string m_Key;          ///< idempotency key; may be empty
-  std::uint32_t m_From = 0;   ///< index of the first token wanted
-  net::HttpHeaders m_Headers; ///< further ones, for engines asked directly
+  std::string m_Key;              ///< idempotency key; may be empty
+  std::uint32_t m_ResumeFrom = 0; ///< index of the first token to generate
+  /// Additional headers, for direct requests to engines.
+  net::HttpHeaders m_Headers;
 };
 
 struct ChatAnswer {
@@ -43,18 +46,21 @@
   std::string m_Digest;
   std::uint32_t m_Tokens = 0;
   std::chrono::milliseconds m_RetryAfter{0};
-  std::chrono::nanoseconds m_FirstToken{0}; ///< since the request was sent
-  std::string m_Detail;                     ///< why it is not whole
+  /// Measured from the sending of the request.
+  std::chrono::nanoseconds m_TimeToFirstToken{0};
+  std::string m_Detail; ///< why the answer is not Verdict::Whole
 };
 
-/// Sends one streaming request to an entry and reads its answer.
-asio::awaitable<ChatAnswer> ask(net::HttpClient &Http, std::string Entry,
-                                ChatRequest Request);
+/// Sends one streaming request to an entry and verifies the answer.
+asio::awaitable<ChatAnswer> requestCompletion(net::HttpClient &Http,
+                                              std::string Entry,
+                                              ChatRequest Request);
 
-/// The same on an io_context of its own.
+/// Blocking variant of requestCompletion that runs an io_context of its own.
 ChatAnswer askAndWait(const std::string &Entry, ChatRequest Request);
 
-/// The entries that one of the known entries names; empty without an answer.
+/// Returns the addresses of all entries as reported by the first known entry
+/// that answers, or an empty list if none does.
 asio::awaitable<std::vector<std::string>>
 findEntries(net::HttpClient &Http, std::vector<std::string> Known);
 
--- a/support/load/load-run.cc
+++ b/support/load/load-run.cc
@@ -18,8 +18,8 @@
 using SteadyClock = std::chrono::steady_clock;
 
 constexpr std::size_t MaxDetails = 10;
-constexpr milliseconds PauseAfterFailure{50};
-constexpr milliseconds MaxRetryPause{2'000};
+constexpr milliseconds FailureDelay{50};
+constexpr milliseconds MaxRetryDelay{2'000};
 constexpr std::array Verdicts{Verdict::Whole, Verdict::NotRun, Verdict::Unknown,
                               Verdict::Broken, Verdict::Mixed};
 
@@ -43,9 +43,9 @@
 }
 
 double LoadReport::firstTokenMs(double Quantile) const {
-  if (m_FirstTokens.empty())
+  if (m_FirstTokenTimes.empty())
     return 0;
-  std::vector<std::chrono::nanoseconds> Sorted = m_FirstTokens;
+  std::vector<std::chrono::nanoseconds> Sorted = m_FirstTokenTimes;
   std::sort(Sorted.begin(), Sorted.end());
   const auto Last = static_cast<double>(Sorted.size() - 1);
   const auto Rank = static_cast<std::size_t>(std::llround(Quantile * Last));
@@ -54,15 +54,15 @@
 
 json::object toJson(const LoadReport &Report) {
   json::object Out{{"sent", Report.m_Sent},
-                   {"seconds", seconds(Report.m_Took)}};
+                   {"seconds", seconds(Report.m_Elapsed)}};
   for (Verdict Each : Verdicts)
-    Out[nameOf(Each)] = Report.count(Each);
+    Out[verdictName(Each)] = Report.count(Each);
   json::object FirstToken;
   for (const NamedQuantile &Each : Quantiles)
     FirstToken[Each.m_Name] = Report.firstTokenMs(Each.m_Quantile);
   Out["firstTokenMs"] = std::move(FirstToken);
   json::object ByWeights;
-  for (const auto &[Weights, Count] : Report.m_WholeByWeights)
+  for (const auto &[Weights, Count] : Report.m_CompleteByWeights)
     ByWeights[Weights] = Count;
   Out["wholeByWeights"] = std::move(ByWeights);
   json::array Details;
@@ -75,7 +75,7 @@
 std::string toLines(const LoadReport &Report) {
   std::string Out = "sent " + std::to_string(Report.m_Sent) + " requests\n";
   for (Verdict Each : Verdicts)
-    Out += std::string(nameOf(Each)) + " " +
+    Out += std::string(verdictName(Each)) + " " +
            std::to_string(Report.count(Each)) + " answers\n";
   for (const NamedQuantile &Each : Quantiles) {
     char Line[64];
@@ -90,32 +90,32 @@
   m_Begin = SteadyClock::now();
   asio::co_spawn(m_Io, runAll(), asio::detached);
   m_Io.run();
-  m_Report.m_Took = SteadyClock::now() - m_Begin;
+  m_Report.m_Elapsed = SteadyClock::now() - m_Begin;
   return m_Report;
 }
 
-bool LoadRun::over() const {
+bool LoadRun::isOver() const {
   return m_Stopped || m_Report.m_Sent >= m_Options.m_Requests ||
          SteadyClock::now() - m_Begin >= m_Options.m_Duration;
 }
 
 asio::awaitable<void> LoadRun::runAll() {
-  while (m_Entries.empty() && !over()) {
+  while (m_Entries.empty() && !isOver()) {
     m_Entries = co_await findEntries(m_Http, m_Options.m_Entries);
     if (m_Entries.empty())
-      co_await pause(PauseAfterFailure);
+      co_await sleepFor(FailureDelay);
   }
   auto Executor = co_await asio::this_coro::executor;
   for (std::uint32_t I = 0; I < m_Options.m_Callers; ++I)
-    asio::co_spawn(Executor, caller(I), asio::detached);
+    asio::co_spawn(Executor, runCaller(I), asio::detached);
 }
 
-asio::awaitable<void> LoadRun::pause(milliseconds Length) {
+asio::awaitable<void> LoadRun::sleepFor(milliseconds Length) {
   asio::steady_timer Timer(co_await asio::this_coro::executor, Length);
   co_await Timer.async_wait(asio::as_tuple(asio::use_awaitable));
 }
 
-ChatRequest LoadRun::requestOf(std::uint32_t Number) const {
+ChatRequest LoadRun::makeRequest(std::uint32_t Number) const {
   ChatRequest Out;
   Out.m_Model = m_Options.m_Model;
   Out.m_Prompt = "request " + std::to_string(Number) + " of the load";
@@ -129,36 +129,38 @@
   return Out;
 }
 
-asio::awaitable<void> LoadRun::caller(std::uint32_t Number) {
+asio::awaitable<void> LoadRun::runCaller(std::uint32_t Number) {
   std::size_t Entry = Number;
-  while (!over()) {
-    const auto Request = requestOf(static_cast<std::uint32_t>(m_Report.m_Sent));
+  while (!isOver()) {
+    const auto Request =
+        makeRequest(static_cast<std::uint32_t>(m_Report.m_Sent));
     ++m_Report.m_Sent;
     const std::string Address = m_Entries[Entry % m_Entries.size()];
-    const ChatAnswer Answer = co_await ask(m_Http, Address, Request);
+    const ChatAnswer Answer =
+        co_await requestCompletion(m_Http, Address, Request);
     record(Answer);
     milliseconds Wait = m_Options.m_Pause;
     if (Answer.m_Verdict == Verdict::NotRun)
-      Wait = std::clamp(Answer.m_RetryAfter, PauseAfterFailure, MaxRetryPause);
+      Wait = std::clamp(Answer.m_RetryAfter, FailureDelay, MaxRetryDelay);
     if (Answer.m_Verdict == Verdict::Broken) {
       ++Entry;
-      Wait = std::max(Wait, PauseAfterFailure);
+      Wait = std::max(Wait, FailureDelay);
     }
     if (Wait.count() > 0)
-      co_await pause(Wait);
+      co_await sleepFor(Wait);
   }
 }
 
 void LoadRun::record(const ChatAnswer &Answer) {
   ++m_Report.m_Verdicts[Answer.m_Verdict];
   if (Answer.m_Verdict == Verdict::Whole) {
-    ++m_Report.m_WholeByWeights[Answer.m_Weights];
-    m_Report.m_FirstTokens.push_back(Answer.m_FirstToken);
+    ++m_Report.m_CompleteByWeights[Answer.m_Weights];
+    m_Report.m_FirstTokenTimes.push_back(Answer.m_TimeToFirstToken);
     return;
   }
   if (m_Report.m_Details.size() < MaxDetails)
-    m_Report.m_Details.push_back(std::string(nameOf(Answer.m_Verdict)) + ": " +
-                                 Answer.m_Detail);
+    m_Report.m_Details.push_back(std::string(verdictName(Answer.m_Verdict)) +
+                                 ": " + Answer.m_Detail);
 }
 
 } // namespace deckpitch::load
--- a/support/load/main.cc
+++ b/support/load/main.cc
@@ -1,4 +1,5 @@
-// deckpitch-load: a bounded load of checked chat requests.
+// deckpitch-load: sends a bounded load of chat requests and verifies the
+// answers.
 #include "load/load-run.h"
 
 #include <absl/flags/flag.h>
@@ -13,16 +14,18 @@
 #include <thread>
 
 ABSL_FLAG(std::vector<std::string>, entries, {},
-          "addresses of entries to ask for addresses, ip:port,...");
-ABSL_FLAG(std::string, model, "", "pool or model to ask");
-ABSL_FLAG(std::uint32_t, callers, 4, "callers at the same time");
-ABSL_FLAG(std::uint32_t, requests, 100, "requests at most");
-ABSL_FLAG(std::uint32_t, tokens, 16, "tokens of each answer");
-ABSL_FLAG(std::uint32_t, seconds, 60, "starts no request after this time");
-ABSL_FLAG(std::uint32_t, pause_ms, 0, "of a caller between its requests");
-ABSL_FLAG(std::uint32_t, deadline_ms, 30'000, "of each request");
-ABSL_FLAG(std::uint32_t, urgent_percent, 0, "share of urgent requests");
-ABSL_FLAG(std::vector<std::string>, organisations, {}, "organisations in turn");
+          "known entries, from which the others are discovered, ip:port,...");
+ABSL_FLAG(std::string, model, "", "pool or model to which requests are sent");
+ABSL_FLAG(std::uint32_t, callers, 4, "number of concurrent callers");
+ABSL_FLAG(std::uint32_t, requests, 100,
+          "maximum number of requests of all callers");
+ABSL_FLAG(std::uint32_t, tokens, 16, "number of tokens per answer");
+ABSL_FLAG(std::uint32_t, seconds, 60, "time after which no request starts");
+ABSL_FLAG(std::uint32_t, pause_ms, 0, "pause of a caller between its requests");
+ABSL_FLAG(std::uint32_t, deadline_ms, 30'000, "deadline of each request");
+ABSL_FLAG(std::uint32_t, urgent_percent, 0, "percentage of urgent requests");
+ABSL_FLAG(std::vector<std::string>, organisations, {},
+          "organisations that send requests, used in rotation");
 ABSL_FLAG(std::string, output, "lines", "lines or json");
 
 namespace {
@@ -50,12 +53,12 @@
 } // namespace
 
 int main(int Argc, char **Argv) {
-  absl::SetProgramUsageMessage(
-      "sends checked chat requests; --entries=ip:port --model=POOL");
+  absl::SetProgramUsageMessage("sends chat requests and verifies the answers; "
+                               "--entries=ip:port --model=POOL");
   absl::ParseCommandLine(Argc, Argv);
   const LoadOptions Options = optionsFromFlags();
   if (Options.m_Entries.empty() || Options.m_Model.empty()) {
-    std::cerr << "--entries and --model are needed; see --help\n";
+    std::cerr << "--entries and --model are required; see --help\n";
     return ExitUsage;
   }
   LoadRun Run(Options);
--- a/support/standins/main.cc
+++ b/support/standins/main.cc
@@ -19,15 +19,13 @@
           "number of engines, for kinds engine and all");
 ABSL_FLAG(std::uint32_t, services, 1,
           "number of plain services, for kinds service and all");
-ABSL_FLAG(std::uint32_t, slots, 2,
-          "versions of weights that an engine can load at once");
+ABSL_FLAG(std::uint32_t, slots, 2, "weights that an engine can load at once");
 ABSL_FLAG(std::uint32_t, concurrency, 8,
           "requests that an engine runs at once");
 ABSL_FLAG(std::uint32_t, queue, 1024, "requests that may wait in an engine");
 ABSL_FLAG(std::uint64_t, staging_bytes, 0,
           "bytes of staged chunks per engine; 0: unlimited");
-ABSL_FLAG(bool, strict_fencing, false,
-          "engines reject orders with a stale fencing number");
+ABSL_FLAG(bool, strict_fencing, false, "engines reject stale fencing numbers");
 ABSL_FLAG(std::uint64_t, store_requests_per_second, 20,
           "request limit of the weight store; 0: unlimited");
 ABSL_FLAG(
--- a/test/standin-engine-test.cc
+++ b/test/standin-engine-test.cc
@@ -28,7 +28,7 @@
       {reinterpret_cast<const std::uint8_t *>(Text.data()), Text.size()});
 }
 
-std::string chunkOf(std::uint64_t Seed, std::uint32_t Index) {
+std::string chunkContent(std::uint64_t Seed, std::uint32_t Index) {
   const std::uint64_t Offset = std::uint64_t{Index} * ChunkBytes;
   return standins::contentBytes(
       Seed, Offset, std::min<std::uint64_t>(ChunkBytes, ContentSize - Offset));
@@ -39,14 +39,14 @@
                .m_Bytes = ContentSize,
                .m_ChunkBytes = ChunkBytes};
   for (std::uint32_t I = 0; I < 3; ++I)
-    Out.m_Chunks.push_back(digestOfText(chunkOf(Seed, I)));
+    Out.m_Chunks.push_back(digestOfText(chunkContent(Seed, I)));
   Out.m_Whole = wholeDigest(Out.m_Chunks);
   return Out;
 }
 
 class EngineContract : public testing::Test {
 protected:
-  void begin(std::vector<std::string> Flags) {
+  void startEngine(std::vector<std::string> Flags) {
     Flags.insert(Flags.begin(), {"--kind=engine", "--engines=1"});
     m_Process.emplace("deckpitch-standins", Flags);
     m_Address = m_Process->announcement().at("address").as_string().c_str();
@@ -71,10 +71,10 @@
     return call(m_Address, "POST", "/v1/engine/orders", json::serialize(Order));
   }
 
-  /// Stages, loads and activates whole weights.
-  void serve(const std::string &Weights, std::uint64_t Seed) {
+  /// Stages all chunks of the weights, then loads and activates them.
+  void stageAndActivate(const std::string &Weights, std::uint64_t Seed) {
     for (std::uint32_t I = 0; I < 3; ++I)
-      ASSERT_EQ(stage(Weights, I, chunkOf(Seed, I)), 204U);
+      ASSERT_EQ(stage(Weights, I, chunkContent(Seed, I)), 204U);
     ASSERT_EQ(statusOf(order("load", Weights, 1, Seed)), 200U);
     ASSERT_EQ(statusOf(order("activate", Weights, 1)), 200U);
   }
@@ -89,7 +89,7 @@
     return Out;
   }
 
-  std::future<ChatAnswer> askLater(ChatRequest Request) {
+  std::future<ChatAnswer> requestAsync(ChatRequest Request) {
     return std::async(std::launch::async, [this, Request] {
       return load::askAndWait(m_Address, Request);
     });
@@ -99,7 +99,7 @@
     return jsonOf(call(m_Address, "GET", "/v1/engine/status"));
   }
 
-  bool awaitLoad(std::string_view Key, std::int64_t Count) {
+  bool loadBecomes(std::string_view Key, std::int64_t Count) {
     return eventually([&] {
       const json::value Now = status();
       return Now.is_object() &&
@@ -107,7 +107,7 @@
     });
   }
 
-  bool executed(const std::string &Key) {
+  bool wasExecuted(const std::string &Key) {
     const auto Listed = call(m_Address, "GET", "/_standin/executions");
     return Listed &&
            Listed->m_Body.find("\"" + Key + "\"") != std::string::npos;
@@ -117,39 +117,39 @@
   std::string m_Address;
 };
 
-TEST_F(EngineContract, RefusesToLoadMissingAndWrongChunks) {
-  begin({});
-  ASSERT_EQ(stage("m@1", 0, chunkOf(7, 0)), 204U);
-  ASSERT_EQ(stage("m@1", 1, chunkOf(8, 1)), 204U);
+TEST_F(EngineContract, RejectsALoadWithMissingOrWrongChunks) {
+  startEngine({});
+  ASSERT_EQ(stage("m@1", 0, chunkContent(7, 0)), 204U);
+  ASSERT_EQ(stage("m@1", 1, chunkContent(8, 1)), 204U);
   const auto Refused = order("load", "m@1", 1, 7);
   EXPECT_EQ(statusOf(Refused), 422U);
   EXPECT_EQ(jsonOf(Refused).at("chunks"), (json::array{1, 2}));
   EXPECT_EQ(statusOf(order("activate", "m@1", 1)), 404U);
   EXPECT_EQ(load::askAndWait(m_Address, request("a")).m_Status, 503U);
-  ASSERT_EQ(stage("m@1", 1, chunkOf(7, 1)), 204U);
-  ASSERT_EQ(stage("m@1", 2, chunkOf(7, 2)), 204U);
+  ASSERT_EQ(stage("m@1", 1, chunkContent(7, 1)), 204U);
+  ASSERT_EQ(stage("m@1", 2, chunkContent(7, 2)), 204U);
   EXPECT_EQ(statusOf(order("load", "m@1", 1, 7)), 200U);
 }
 
-TEST_F(EngineContract, GivesBackStagedChunksUntilTheyAreDropped) {
-  begin({"--staging_bytes=100"});
-  ASSERT_EQ(stage("m@1", 0, chunkOf(7, 0)), 204U);
-  EXPECT_EQ(stage("m@1", 1, chunkOf(7, 1)), 507U);
+TEST_F(EngineContract, ServesStagedChunksUntilTheyAreDropped) {
+  startEngine({"--staging_bytes=100"});
+  ASSERT_EQ(stage("m@1", 0, chunkContent(7, 0)), 204U);
+  EXPECT_EQ(stage("m@1", 1, chunkContent(7, 1)), 507U);
   const std::string Target = "/v1/engine/staging/m@1/chunks/0";
-  EXPECT_EQ(call(m_Address, "GET", Target)->m_Body, chunkOf(7, 0));
+  EXPECT_EQ(call(m_Address, "GET", Target)->m_Body, chunkContent(7, 0));
   EXPECT_EQ(statusOf(call(m_Address, "DELETE", "/v1/engine/staging/m@1")),
             204U);
   EXPECT_EQ(statusOf(call(m_Address, "GET", Target)), 404U);
-  EXPECT_EQ(stage("m@1", 1, chunkOf(7, 1)), 204U);
+  EXPECT_EQ(stage("m@1", 1, chunkContent(7, 1)), 204U);
 }
 
-TEST_F(EngineContract, KeepsARequestOnTheWeightsItStartedWith) {
-  begin({"--slots=2"});
-  serve("m@1", 7);
+TEST_F(EngineContract, RunningRequestKeepsItsWeightsAcrossActivation) {
+  startEngine({"--slots=2"});
+  stageAndActivate("m@1", 7);
   ASSERT_TRUE(setFaults(m_Address, R"({"delayTokenMs":20})"));
-  auto Old = askLater(request("old", 100));
-  ASSERT_TRUE(awaitLoad("running", 1));
-  serve("m@2", 8);
+  auto Old = requestAsync(request("old", 100));
+  ASSERT_TRUE(loadBecomes("running", 1));
+  stageAndActivate("m@2", 8);
   EXPECT_EQ(statusOf(order("unload", "m@1", 2)), 409U);
   ASSERT_TRUE(setFaults(m_Address, "{}"));
   const ChatAnswer New = load::askAndWait(m_Address, request("new"));
@@ -161,13 +161,13 @@
   EXPECT_EQ(statusOf(order("unload", "m@1", 2)), 200U);
 }
 
-TEST_F(EngineContract, RefusesRequestsForOtherWeights) {
-  begin({});
-  serve("m@1", 7);
+TEST_F(EngineContract, RejectsRequestsForInactiveWeights) {
+  startEngine({});
+  stageAndActivate("m@1", 7);
   ChatRequest Other = request("a");
   Other.m_Headers.add("X-Weights", "m@2");
   EXPECT_EQ(load::askAndWait(m_Address, Other).m_Status, 409U);
-  EXPECT_FALSE(executed("a"));
+  EXPECT_FALSE(wasExecuted("a"));
 }
 
 struct FencingRow {
@@ -175,74 +175,74 @@
   unsigned m_Status;
 };
 
-TEST_F(EngineContract, ChecksFencingNumbersWhenStrict) {
+TEST_F(EngineContract, RejectsStaleFencingNumbersOnlyWhenStrict) {
   for (const FencingRow &Row : {FencingRow{"--strict_fencing=true", 409},
                                 FencingRow{"--strict_fencing=false", 200}}) {
     SCOPED_TRACE(Row.m_Flag);
-    begin({Row.m_Flag, "--slots=2"});
-    serve("m@1", 7);
+    startEngine({Row.m_Flag, "--slots=2"});
+    stageAndActivate("m@1", 7);
     ASSERT_EQ(statusOf(order("activate", "m@1", 5)), 200U);
     EXPECT_EQ(statusOf(order("activate", "m@1", 4)), Row.m_Status);
     EXPECT_EQ(statusOf(order("activate", "m@1", 5)), 200U);
   }
 }
 
-TEST_F(EngineContract, HasNoMoreSlotsThanItSays) {
-  begin({"--slots=1"});
-  serve("m@1", 7);
+TEST_F(EngineContract, RejectsALoadWithoutAFreeSlot) {
+  startEngine({"--slots=1"});
+  stageAndActivate("m@1", 7);
   for (std::uint32_t I = 0; I < 3; ++I)
-    ASSERT_EQ(stage("m@2", I, chunkOf(8, I)), 204U);
+    ASSERT_EQ(stage("m@2", I, chunkContent(8, I)), 204U);
   EXPECT_EQ(statusOf(order("load", "m@2", 1, 8)), 507U);
   EXPECT_EQ(statusOf(order("unload", "m@1", 1)), 200U);
   EXPECT_EQ(statusOf(order("load", "m@2", 1, 8)), 200U);
 }
 
-TEST_F(EngineContract, ResumesAndBreaksStreams) {
-  begin({});
-  serve("m@1", 7);
+TEST_F(EngineContract, ResumesABrokenStream) {
+  startEngine({});
+  stageAndActivate("m@1", 7);
   ASSERT_TRUE(setFaults(m_Address, R"({"breakAfterTokens":5})"));
-  const ChatAnswer Cut = load::askAndWait(m_Address, request("a"));
-  EXPECT_EQ(Cut.m_Verdict, Verdict::Broken);
-  EXPECT_EQ(Cut.m_Tokens, 5U);
+  const ChatAnswer Truncated = load::askAndWait(m_Address, request("a"));
+  EXPECT_EQ(Truncated.m_Verdict, Verdict::Broken);
+  EXPECT_EQ(Truncated.m_Tokens, 5U);
   ASSERT_TRUE(setFaults(m_Address, "{}"));
-  ChatRequest Rest = request("a");
-  Rest.m_From = Cut.m_Tokens;
-  const ChatAnswer Resumed = load::askAndWait(m_Address, Rest);
+  ChatRequest Remainder = request("a");
+  Remainder.m_ResumeFrom = Truncated.m_Tokens;
+  const ChatAnswer Resumed = load::askAndWait(m_Address, Remainder);
   EXPECT_EQ(Resumed.m_Verdict, Verdict::Whole) << Resumed.m_Detail;
   EXPECT_EQ(Resumed.m_Tokens, 11U);
 }
 
-TEST_F(EngineContract, RunsByPriorityAndCancels) {
-  begin({"--concurrency=1"});
-  serve("m@1", 7);
+TEST_F(EngineContract, RunsByPriorityAndCancelsWaitingRequests) {
+  startEngine({"--concurrency=1"});
+  stageAndActivate("m@1", 7);
   ASSERT_TRUE(setFaults(m_Address, R"({"delayTokenMs":3600000})"));
-  auto First = askLater(request("first", ManyTokens));
-  ASSERT_TRUE(awaitLoad("running", 1));
-  auto Low = askLater(request("low", ManyTokens));
-  ASSERT_TRUE(awaitLoad("waiting", 1));
+  auto First = requestAsync(request("first", ManyTokens));
+  ASSERT_TRUE(loadBecomes("running", 1));
+  auto Low = requestAsync(request("low", ManyTokens));
+  ASSERT_TRUE(loadBecomes("waiting", 1));
   ChatRequest UrgentRequest = request("urgent", ManyTokens);
   UrgentRequest.m_Priority = "0";
-  auto Urgent = askLater(UrgentRequest);
-  ASSERT_TRUE(awaitLoad("waiting", 2));
+  auto Urgent = requestAsync(UrgentRequest);
+  ASSERT_TRUE(loadBecomes("waiting", 2));
   call(m_Address, "DELETE", "/v1/requests/first");
   EXPECT_EQ(First.get().m_Verdict, Verdict::Broken);
-  EXPECT_TRUE(eventually([&] { return executed("urgent"); }));
-  EXPECT_FALSE(executed("low"));
+  EXPECT_TRUE(eventually([&] { return wasExecuted("urgent"); }));
+  EXPECT_FALSE(wasExecuted("low"));
   call(m_Address, "DELETE", "/v1/requests/low");
   EXPECT_EQ(Low.get().m_Verdict, Verdict::Broken);
   call(m_Address, "DELETE", "/v1/requests/urgent");
   EXPECT_EQ(Urgent.get().m_Verdict, Verdict::Broken);
-  EXPECT_FALSE(executed("low"));
+  EXPECT_FALSE(wasExecuted("low"));
 }
 
-TEST_F(EngineContract, ReportsLoadLate) {
-  begin({});
-  serve("m@1", 7);
+TEST_F(EngineContract, ReportsLoadWithTheConfiguredLag) {
+  startEngine({});
+  stageAndActivate("m@1", 7);
   ASSERT_TRUE(
       setFaults(m_Address, R"({"loadLagMs":3600000,"delayTokenMs":3600000})"));
-  ASSERT_TRUE(awaitLoad("running", 0));
-  auto Running = askLater(request("a", ManyTokens));
-  ASSERT_TRUE(eventually([&] { return executed("a"); }));
+  ASSERT_TRUE(loadBecomes("running", 0));
+  auto Running = requestAsync(request("a", ManyTokens));
+  ASSERT_TRUE(eventually([&] { return wasExecuted("a"); }));
   EXPECT_EQ(status().at("load").at("running"), 0);
   ASSERT_TRUE(setFaults(m_Address, R"({"delayTokenMs":3600000})"));
   EXPECT_EQ(status().at("load").at("running"), 1);
@@ -250,9 +250,9 @@
   Running.get();
 }
 
-TEST_F(EngineContract, PublishesCacheEventsAndKvCaches) {
-  begin({});
-  serve("m@1", 7);
+TEST_F(EngineContract, PublishesCacheEventsAndTransfersKvCaches) {
+  startEngine({});
+  stageAndActivate("m@1", 7);
   load::askAndWait(m_Address, request("a"));
   load::askAndWait(m_Address, request("b"));
   const json::value Seen =
