--- a/support/standins/engine-queue.h
+++ b/support/standins/engine-queue.h
@@ -40,8 +40,8 @@
 public:
   explicit EngineQueue(std::uint32_t Limit) : m_Limit(Limit) {}
 
-  /// Waits until the request may run. Returns false if it was stopped before;
-  /// after true, call releaseSlot().
+  /// Waits until the request may run. Returns false if it was stopped while it
+  /// waited; after true, call releaseSlot().
   boost::asio::awaitable<bool> acquireSlot(EngineRequestPtr Request);
   void releaseSlot();
 
