--- a/test/harness.h
+++ b/test/harness.h
@@ -18,7 +18,7 @@
 namespace deckpitch::test {
 
 /// Far longer than any condition takes; reached only after a failure.
-inline constexpr std::chrono::milliseconds WaitCap{60'000};
+inline constexpr std::chrono::milliseconds MaxWait{60'000};
 
 namespace detail {
 
@@ -31,7 +31,7 @@
 ///   ASSERT_TRUE(eventually([&] { return Agent.exitStatus().has_value(); }));
 template <std::predicate Condition>
 bool eventually(Condition &&Holds,
-                std::chrono::milliseconds Timeout = WaitCap) {
+                std::chrono::milliseconds Timeout = MaxWait) {
   const auto End = std::chrono::steady_clock::now() + Timeout;
   while (!Holds()) {
     if (std::chrono::steady_clock::now() >= End)
@@ -76,7 +76,7 @@
   /// process runs.
   std::optional<int> exitStatus();
   /// Waits for the process to exit; empty on timeout.
-  std::optional<int> waitForExit(std::chrono::milliseconds Timeout = WaitCap);
+  std::optional<int> waitForExit(std::chrono::milliseconds Timeout = MaxWait);
   /// Sends SIGTERM and waits for the exit.
   std::optional<int> stop();
   std::string output() const;
--- a/test/standin-contract-test.cc
+++ b/test/standin-contract-test.cc
@@ -242,9 +242,9 @@
 
 TEST_F(StandInOrigin, CorruptsOnlyTheConfiguredChunks) {
   const std::string Good = standins::contentBytes(7, 0, 100);
-  EXPECT_EQ(read(WaitCap)->m_Body, Good);
+  EXPECT_EQ(read(MaxWait)->m_Body, Good);
   ASSERT_TRUE(setFaults(m_Address, R"({"corruptChunks":[1]})"));
-  const std::string Bad = read(WaitCap)->m_Body;
+  const std::string Bad = read(MaxWait)->m_Body;
   ASSERT_EQ(Bad.size(), Good.size());
   EXPECT_EQ(Bad.substr(0, 40), Good.substr(0, 40));
   EXPECT_NE(Bad.substr(40, 40), Good.substr(40, 40));
@@ -260,7 +260,7 @@
         eventually([&] { return counterOf(m_Address, "bytes") == 20; }));
     EXPECT_TRUE(setFaults(m_Address, "{}"));
   });
-  const auto Complete = read(WaitCap);
+  const auto Complete = read(MaxWait);
   FaultClearer.join();
   ASSERT_TRUE(Complete);
   EXPECT_EQ(Complete->m_Body, standins::contentBytes(7, 0, 100));
