--- a/support/load/chat-client.cc
+++ b/support/load/chat-client.cc
@@ -228,7 +228,8 @@
 
 } // namespace
 
-ChatAnswer askAndWait(const std::string &Entry, ChatRequest Request) {
+ChatAnswer requestCompletionAndWait(const std::string &Entry,
+                                    ChatRequest Request) {
   asio::io_context Io;
   net::HttpClient Http;
   ChatAnswer Answer;
--- a/support/load/chat-client.h
+++ b/support/load/chat-client.h
@@ -57,7 +57,8 @@
                                               ChatRequest Request);
 
 /// Blocking variant of requestCompletion that runs an io_context of its own.
-ChatAnswer askAndWait(const std::string &Entry, ChatRequest Request);
+ChatAnswer requestCompletionAndWait(const std::string &Entry,
+                                    ChatRequest Request);
 
 /// Returns the addresses of all entries as reported by the first known entry
 /// that answers, or an empty list if none does.
--- a/test/bad-input-test.cc
+++ b/test/bad-input-test.cc
@@ -69,7 +69,8 @@
     load::ChatRequest Request;
     Request.m_Model = "chat";
     Request.m_Prompt = "good";
-    const load::ChatAnswer Answer = load::askAndWait(Entry.m_Requests, Request);
+    const load::ChatAnswer Answer =
+        load::requestCompletionAndWait(Entry.m_Requests, Request);
     Detail = Answer.m_Detail;
     EXPECT_NE(Answer.m_Verdict, load::Verdict::Mixed) << Detail;
     return Answer.m_Verdict == load::Verdict::Whole;
--- a/test/standin-engine-test.cc
+++ b/test/standin-engine-test.cc
@@ -91,7 +91,7 @@
 
   std::future<ChatAnswer> requestAsync(ChatRequest Request) {
     return std::async(std::launch::async, [this, Request] {
-      return load::askAndWait(m_Address, Request);
+      return load::requestCompletionAndWait(m_Address, Request);
     });
   }
 
@@ -125,7 +125,8 @@
   EXPECT_EQ(statusOf(Refused), 422U);
   EXPECT_EQ(jsonOf(Refused).at("chunks"), (json::array{1, 2}));
   EXPECT_EQ(statusOf(order("activate", "m@1", 1)), 404U);
-  EXPECT_EQ(load::askAndWait(m_Address, request("a")).m_Status, 503U);
+  EXPECT_EQ(load::requestCompletionAndWait(m_Address, request("a")).m_Status,
+            503U);
   ASSERT_EQ(stage("m@1", 1, chunkContent(7, 1)), 204U);
   ASSERT_EQ(stage("m@1", 2, chunkContent(7, 2)), 204U);
   EXPECT_EQ(statusOf(order("load", "m@1", 1, 7)), 200U);
@@ -152,7 +153,8 @@
   stageAndActivate("m@2", 8);
   EXPECT_EQ(statusOf(order("unload", "m@1", 2)), 409U);
   ASSERT_TRUE(setFaults(m_Address, "{}"));
-  const ChatAnswer New = load::askAndWait(m_Address, request("new"));
+  const ChatAnswer New =
+      load::requestCompletionAndWait(m_Address, request("new"));
   EXPECT_EQ(New.m_Verdict, Verdict::Whole) << New.m_Detail;
   EXPECT_EQ(New.m_Digest, toHex(manifestOf("m@2", 8).m_Whole));
   const ChatAnswer Kept = Old.get();
@@ -166,7 +168,7 @@
   stageAndActivate("m@1", 7);
   ChatRequest Other = request("a");
   Other.m_Headers.add("X-Weights", "m@2");
-  EXPECT_EQ(load::askAndWait(m_Address, Other).m_Status, 409U);
+  EXPECT_EQ(load::requestCompletionAndWait(m_Address, Other).m_Status, 409U);
   EXPECT_FALSE(wasExecuted("a"));
 }
 
@@ -201,13 +203,15 @@
   startEngine({});
   stageAndActivate("m@1", 7);
   ASSERT_TRUE(setFaults(m_Address, R"({"breakAfterTokens":5})"));
-  const ChatAnswer Truncated = load::askAndWait(m_Address, request("a"));
+  const ChatAnswer Truncated =
+      load::requestCompletionAndWait(m_Address, request("a"));
   EXPECT_EQ(Truncated.m_Verdict, Verdict::Broken);
   EXPECT_EQ(Truncated.m_Tokens, 5U);
   ASSERT_TRUE(setFaults(m_Address, "{}"));
   ChatRequest Remainder = request("a");
   Remainder.m_ResumeFrom = Truncated.m_Tokens;
-  const ChatAnswer Resumed = load::askAndWait(m_Address, Remainder);
+  const ChatAnswer Resumed =
+      load::requestCompletionAndWait(m_Address, Remainder);
   EXPECT_EQ(Resumed.m_Verdict, Verdict::Whole) << Resumed.m_Detail;
   EXPECT_EQ(Resumed.m_Tokens, 11U);
 }
@@ -253,8 +257,8 @@
 TEST_F(EngineContract, PublishesCacheEventsAndTransfersKvCaches) {
   startEngine({});
   stageAndActivate("m@1", 7);
-  load::askAndWait(m_Address, request("a"));
-  load::askAndWait(m_Address, request("b"));
+  load::requestCompletionAndWait(m_Address, request("a"));
+  load::requestCompletionAndWait(m_Address, request("b"));
   const json::value Seen =
       jsonOf(call(m_Address, "GET", "/v1/engine/cache-events?since=2"));
   EXPECT_EQ(Seen.at("events").as_array().size(), 1U);
